--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -54,7 +54,7 @@
 def checkout(text: str) -> Path:
     """A folder that holds the program; raises `ArgumentTypeError`."""
     path = Path(text).resolve()
-    if not (path / "nickelbridge").is_dir():
+    if not (path / "workspond" / "policy").is_dir():
         raise argparse.ArgumentTypeError(f"{text!r:.200} holds no program")
     return path
 
@@ -84,8 +84,10 @@
 
 def row(*cells: object) -> None:
     """One line of the table for people."""
-    print(" ".join(f"{cell:>10.1f}" if isinstance(cell, float) else f"{cell:>10}" for cell in cells),
-          file=sys.stderr)  # fmt: skip
+    print(
+        " ".join(f"{cell:>10.1f}" if isinstance(cell, float) else f"{cell:>10}" for cell in cells),
+        file=sys.stderr,
+    )
 
 
 def run_decisions(options: argparse.Namespace) -> None:
@@ -106,8 +108,15 @@
     for servers in options.servers * options.rounds:
         figures = measure(Fleet(servers, options.rate, options.seconds, options.root))
         print(json.dumps(asdict(figures)), flush=True)
-        row(servers, figures.cpu_us_a_call, figures.added_p50_ms, figures.added_p99_ms, figures.peak_mb,
-            figures.list_kb, figures.calls)  # fmt: skip
+        row(
+            servers,
+            figures.cpu_us_a_call,
+            figures.added_p50_ms,
+            figures.added_p99_ms,
+            figures.peak_mb,
+            figures.list_kb,
+            figures.calls,
+        )
 
 
 def main(arguments: list[str]) -> int:
--- a/bench/calls.py
+++ b/bench/calls.py
@@ -76,10 +76,18 @@
         discovery = await asyncio.start_server(self._tell, HOST, 0)
         self.discovery_port = discovery.sockets[0].getsockname()[1]
         endpoints = [
-            {"name": f"s{n}", "address": f"{HOST}:{self.port}", "zone": f"z{n % 5}", "type": "k",
-             "group": n % 7, "status": "active", "weight": 1.0, "since_ms": 0}
+            {
+                "name": f"s{n}",
+                "address": f"{HOST}:{self.port}",
+                "zone": f"z{n % 5}",
+                "type": "k",
+                "group": n % 7,
+                "status": "active",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
             for n in range(self._servers)
-        ]  # fmt: skip
+        ]
         self._whole = json.dumps({"index": 1, "snapshot": True, "endpoints": endpoints}).encode()
         self._none = json.dumps({"index": 1, "snapshot": False, "endpoints": []}).encode()
 
@@ -106,18 +114,38 @@
 
 def config(fleet: Fleet, port: int, discovery_port: int) -> str:
     """The node's configuration."""
-    return json.dumps({
-        "name": "n", "listen": f"{HOST}:{port}", "discovery": f"{HOST}:{discovery_port}", "seed": "1",
-        "limits": {"sockets": SOCKETS},
-        "settings": {
-            "classes": [{"name": "read", "objective_ms": DEADLINE_MS / 2.0, "give_up_ms": DEADLINE_MS,
-                         "semantics": "retryable"}],
-            "siblings": 1, "my_number": 0, "tier": 0, "membership_mode": "pushed",
-            "permissions": {"max_attempts": 3, "connect_timeout_ms": 250.0},
-            "rules": {"ask_every_ms": 1000.0, "stop_sending_within_ms": 1000.0, "start_capacity": 0.2,
-                      "ramp_time_ms": 10_000.0, "overload_factor": 2.5, "overload_for_ms": 1500.0},
-        },
-    })  # fmt: skip
+    return json.dumps(
+        {
+            "name": "n",
+            "listen": f"{HOST}:{port}",
+            "discovery": f"{HOST}:{discovery_port}",
+            "seed": "1",
+            "limits": {"sockets": SOCKETS},
+            "settings": {
+                "classes": [
+                    {
+                        "name": "read",
+                        "objective_ms": DEADLINE_MS / 2.0,
+                        "give_up_ms": DEADLINE_MS,
+                        "semantics": "retryable",
+                    }
+                ],
+                "siblings": 1,
+                "my_number": 0,
+                "tier": 0,
+                "membership_mode": "pushed",
+                "permissions": {"max_attempts": 3, "connect_timeout_ms": 250.0},
+                "rules": {
+                    "ask_every_ms": 1000.0,
+                    "stop_sending_within_ms": 1000.0,
+                    "start_capacity": 0.2,
+                    "ramp_time_ms": 10_000.0,
+                    "overload_factor": 2.5,
+                    "overload_for_ms": 1500.0,
+                },
+            },
+        }
+    )
 
 
 class Client:
@@ -207,9 +235,12 @@
     path = folder / "config.json"
     path.write_text(config(fleet, port, standins.discovery_port))
     node = subprocess.Popen(
-        [sys.executable, "-B", "-m", "orchidferry"], cwd=fleet.root, stdout=subprocess.DEVNULL,
-        stderr=subprocess.DEVNULL, env=dict(os.environ, NODE_CONFIG=str(path)),
-    )  # fmt: skip
+        [sys.executable, "-B", "-m", "workspond"],
+        cwd=fleet.root,
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+        env=dict(os.environ, NODE_CONFIG=str(path)),
+    )
     try:
         await wait_until_ready(port, node)
         await Client(port).run(fleet.rate, WARM_UP_S)
@@ -230,9 +261,16 @@
         raise FleetFailed("the bench itself ran late: no figure")
     added_ms = sorted((took_s - WORK_S) * 1000.0 for took_s in client.took_s)
     return Figures(
-        fleet.servers, calls, client.failed, spent_s / calls * 1e6, added_ms[calls // 2],
-        added_ms[int(0.99 * calls)], most_mb, standins.list_bytes / KB, late_s[-1] * 1000.0,
-    )  # fmt: skip
+        fleet.servers,
+        calls,
+        client.failed,
+        spent_s / calls * 1e6,
+        added_ms[calls // 2],
+        added_ms[int(0.99 * calls)],
+        most_mb,
+        standins.list_bytes / KB,
+        late_s[-1] * 1000.0,
+    )
 
 
 def measure(fleet: Fleet) -> Figures:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -65,11 +65,11 @@
         """Load it; this process must not have loaded another."""
         if root != ROOT:
             sys.path.insert(0, str(root))
-        self.api: Any = importlib.import_module("nickelbridge.interface")
+        self.api: Any = importlib.import_module("workspond.policy.interface")
         try:
-            module = importlib.import_module("nickelbridge.balancer")
+            module = importlib.import_module("workspond.policy.balancer")
         except ModuleNotFoundError:  # in versions that had all decisions in one file
-            module = importlib.import_module("nickelbridge.logic")
+            module = importlib.import_module("workspond.policy.logic")
         self.balancer: Any = module.Balancer
 
 
@@ -81,9 +81,14 @@
         self._api, self._case, self._rng = api, case, random.Random(case.seed)
         classes = [api.RequestClass("read", AIM_MS, DEADLINE_MS, repeat=api.Repeat.SAFE)]
         settings = api.Settings(
-            classes=classes, nodes=case.copies, max_attempts=3, start_capacity=0.2, ramp_time_ms=RAMP_MS,
-            overload_factor=2.5, overload_for_ms=1500.0,
-        )  # fmt: skip
+            classes=classes,
+            nodes=case.copies,
+            max_attempts=3,
+            start_capacity=0.2,
+            ramp_time_ms=RAMP_MS,
+            overload_factor=2.5,
+            overload_for_ms=1500.0,
+        )
         self._balancer = program.balancer(settings, case.seed)
         self._now = 1000.0
         self._due: list[tuple[float, int, Any]] = []  # events by time
--- a/nickelbridge/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""nickelbridge: a load balancer's decisions for services that call services."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -66,9 +66,13 @@
     for violation in result.violations:
         print(json.dumps(asdict(violation) | {"rule": violation.rule.value}), flush=True)
     summary = {
-        "violations": len(result.violations), "requests": result.requests, "attempts": result.attempts,
-        "answers": result.answers, "shim": result.shimmed, "worst_lag_s": round(result.worst_lag_s, 3),
-    }  # fmt: skip
+        "violations": len(result.violations),
+        "requests": result.requests,
+        "attempts": result.attempts,
+        "answers": result.answers,
+        "shim": result.shimmed,
+        "worst_lag_s": round(result.worst_lag_s, 3),
+    }
     print(json.dumps(summary), flush=True)
 
 
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -40,8 +40,16 @@
 
     def to_json(self) -> dict[str, object]:
         """The entry on the wire."""
-        return {"name": self.name, "address": self.address, "zone": "z", "type": "t", "group": self.group,
-                "status": self.status.value, "weight": 1.0, "since_ms": self.since_ms}  # fmt: skip
+        return {
+            "name": self.name,
+            "address": self.address,
+            "zone": "z",
+            "type": "t",
+            "group": self.group,
+            "status": self.status.value,
+            "weight": 1.0,
+            "since_ms": self.since_ms,
+        }
 
 
 class Registry:
@@ -178,8 +186,10 @@
         else:
             told = [entry for name, entry in self._entries.items() if self._changed.get(name, 0) > index]
             obj = {
-                "index": self._version, "snapshot": False, "endpoints": [entry.to_json() for entry in told]
-            }  # fmt: skip
+                "index": self._version,
+                "snapshot": False,
+                "endpoints": [entry.to_json() for entry in told],
+            }
         body = json.dumps(obj).encode()
         return await self._write(writer, body, told)
 
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -30,9 +30,15 @@
     """One node of the fleet, over all its processes."""
 
     def __init__(
-        self, oracle: Oracle, view: NodeView, agents: list[Agent], count: int, folder: Path, root: Path,
+        self,
+        oracle: Oracle,
+        view: NodeView,
+        agents: list[Agent],
+        count: int,
+        folder: Path,
+        root: Path,
         library: Path | None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.view, self.agents = view, agents
         self._oracle, self._count, self._root, self._library = oracle, count, root, library
         self._config = folder / f"n{view.number}.json"
@@ -50,12 +56,14 @@
     def _write_config(self, text: str | None = None) -> None:
         host, port = self.view.address
         config = {
-            "name": f"n{self.view.number}", "listen": f"{host}:{port}",
-            "discovery": self.agents[self._agent].address, "seed": os.urandom(8).hex(),
+            "name": f"n{self.view.number}",
+            "listen": f"{host}:{port}",
+            "discovery": self.agents[self._agent].address,
+            "seed": os.urandom(8).hex(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS},
             "known": self.agents[self._agent].snapshot(),
             "settings": node_settings(self._count, self.view.number),
-        }  # fmt: skip
+        }
         partial = self._config.with_suffix(".new")
         partial.write_text(text if text is not None else json.dumps(config))
         partial.replace(self._config)
@@ -73,10 +81,15 @@
         piped = self.view.number % 2 == 0
         with self.log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                sys.executable, "-B", "-m", "orchidferry", cwd=self._root,
-                env=env | {"NODE_CONFIG": str(self._config)}, stdout=asyncio.subprocess.DEVNULL,
+                sys.executable,
+                "-B",
+                "-m",
+                "workspond",
+                cwd=self._root,
+                env=env | {"NODE_CONFIG": str(self._config)},
+                stdout=asyncio.subprocess.DEVNULL,
                 stderr=asyncio.subprocess.PIPE if piped else log,
-            )  # fmt: skip
+            )
         if piped:
             self._spawn(self._copy_log(self._process))
         self._spawn(self._watch(self._process))
--- a/soak/run.py
+++ b/soak/run.py
@@ -135,9 +135,13 @@
             self._count_invariants()
         attempts = sum(len(request.attempts) for request in self.oracle.requests.values())
         return Result(
-            tuple(self.oracle.violations), len(self.oracle.requests), attempts, dict(self.oracle.answers),
-            self._shimmed, self._worst_lag_s,
-        )  # fmt: skip
+            tuple(self.oracle.violations),
+            len(self.oracle.requests),
+            attempts,
+            dict(self.oracle.answers),
+            self._shimmed,
+            self._worst_lag_s,
+        )
 
     async def _start(self, folder: Path) -> None:
         library = None
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -36,9 +36,15 @@
     """One server behind its proxy."""
 
     def __init__(
-        self, oracle: Oracle, registry: Registry, name: str, group: int, host: str, capacity: float,
+        self,
+        oracle: Oracle,
+        registry: Registry,
+        name: str,
+        group: int,
+        host: str,
+        capacity: float,
         rng: random.Random,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`capacity`: the requests a second that it can do when warm."""
         self.name, self.group = name, group
         self.mode = ServerMode.GOOD
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -46,15 +46,37 @@
     """The settings of one node of so many."""
     return {
         "classes": [
-            {"name": kind.name, "objective_ms": OBJECTIVE_MS, "give_up_ms": DEADLINE_MS, "importance": 1.0,
-             "semantics": kind.effect.value, "dedup_scope": "cell", "window_ms": KEY_WINDOW_MS}
+            {
+                "name": kind.name,
+                "objective_ms": OBJECTIVE_MS,
+                "give_up_ms": DEADLINE_MS,
+                "importance": 1.0,
+                "semantics": kind.effect.value,
+                "dedup_scope": "cell",
+                "window_ms": KEY_WINDOW_MS,
+            }
             for kind in KINDS
         ],
-        "tenants": [], "locality": "z", "stages": ["front"], "siblings": nodes, "my_number": number,
-        "tier": 0, "membership_mode": "pushed", "quantum_ms": 0.0,
-        "permissions": {"max_attempts": MAX_ATTEMPTS, "connect_timeout_ms": 250.0, "may_cancel": True,
-                        "keepalive_ms": KEEPALIVE_MS},
-        "rules": {"ask_every_ms": 1000.0, "stop_sending_within_ms": DRAIN_GRACE_S * 1000.0,
-                  "start_capacity": START_CAPACITY, "ramp_time_ms": RAMP_S * 1000.0,
-                  "overload_factor": OVERLOAD_FACTOR, "overload_for_ms": OVERLOAD_FOR_S * 1000.0},
-    }  # fmt: skip
+        "tenants": [],
+        "locality": "z",
+        "stages": ["front"],
+        "siblings": nodes,
+        "my_number": number,
+        "tier": 0,
+        "membership_mode": "pushed",
+        "quantum_ms": 0.0,
+        "permissions": {
+            "max_attempts": MAX_ATTEMPTS,
+            "connect_timeout_ms": 250.0,
+            "may_cancel": True,
+            "keepalive_ms": KEEPALIVE_MS,
+        },
+        "rules": {
+            "ask_every_ms": 1000.0,
+            "stop_sending_within_ms": DRAIN_GRACE_S * 1000.0,
+            "start_capacity": START_CAPACITY,
+            "ramp_time_ms": RAMP_S * 1000.0,
+            "overload_factor": OVERLOAD_FACTOR,
+            "overload_for_ms": OVERLOAD_FOR_S * 1000.0,
+        },
+    }
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -36,8 +36,9 @@
     library = folder / "shim.so"
     subprocess.run(
         [compiler, "-shared", "-fPIC", "-O1", "-Wall", "-o", str(library), str(SOURCE), "-ldl"],
-        check=True, capture_output=True,
-    )  # fmt: skip
+        check=True,
+        capture_output=True,
+    )
     return library
 
 
--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -10,7 +10,7 @@
 from soak.schedule import FAULTS_PER_S, FaultKind
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = ("orchidferry", "nickelbridge")
+PACKAGES = ("workspond",)
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,89 +44,158 @@
             path.write_text(text.replace(patch.old, patch.new), encoding="utf-8")
 
 
-GUARD = "orchidferry/send_guard.py"
-CALLER, NODE, RETRIES = "orchidferry/caller.py", "orchidferry/node.py", "nickelbridge/retry_policy.py"
-SELECTION = "nickelbridge/server_selection.py"
+GUARD = "workspond/upstream/send_guard.py"
+CALLER, NODE = "workspond/downstream/client_connection.py", "workspond/node.py"
+RETRIES = "workspond/policy/retry_policy.py"
+SELECTION = "workspond/policy/server_selection.py"
+WATCHER = "workspond/discovery/watcher.py"
+POOL = "workspond/upstream/connection_pool.py"
 BROKEN_NODES = (
     BrokenNode(
-        "callers that have gone are not noticed", Rule.GONE,
+        "callers that have gone are not noticed",
+        Rule.GONE,
         (FaultKind.CALLERS_LEAVE, FaultKind.SERVER_ERRORS),
-        (Patch(CALLER, "            taken.abandon(why)\n", "            pass\n"),
-         Patch(CALLER, "if self._ended or self._transport.is_closing():\n            return True",
-               "if True:\n            return False")),
+        (
+            Patch(CALLER, "            taken.abandon(why)\n", "            pass\n"),
+            Patch(
+                CALLER,
+                "if self._ended or self._transport.is_closing():\n            return True",
+                "if True:\n            return False",
+            ),
+        ),
         rate=5.0,  # callers that leave have to meet failures, and their requests' retries
     ),
     BrokenNode(
-        "drains are ignored", Rule.DRAIN, (FaultKind.SERVER_DRAIN,),
-        (Patch("orchidferry/config.py", '"leaving": api.Health.DRAINING',
-               '"leaving": api.Health.IN_SERVICE'),),
+        "drains are ignored",
+        Rule.DRAIN,
+        (FaultKind.SERVER_DRAIN,),
+        (Patch("workspond/config.py", '"leaving": api.Health.DRAINING', '"leaving": api.Health.IN_SERVICE'),),
     ),
     BrokenNode(
-        "an unsafe request is sent again", Rule.DUPLICATE, (FaultKind.PROXY_RESET, FaultKind.SERVER_ERRORS),
-        (Patch(RETRIES, "if call.first_run_ms is None or call.cls.repeat is Repeat.SAFE:", "if True:"),
-         Patch(GUARD, "if attempts.may_have_run and", "if False and")),
+        "an unsafe request is sent again",
+        Rule.DUPLICATE,
+        (FaultKind.PROXY_RESET, FaultKind.SERVER_ERRORS),
+        (
+            Patch(RETRIES, "if call.first_run_ms is None or call.cls.repeat is Repeat.SAFE:", "if True:"),
+            Patch(GUARD, "if attempts.may_have_run and", "if False and"),
+        ),
     ),
     BrokenNode(
-        "an unsafe request is sent again, and the node's own gate holds it back", Rule.INVARIANT,
+        "an unsafe request is sent again, and the node's own gate holds it back",
+        Rule.INVARIANT,
         (FaultKind.PROXY_RESET, FaultKind.SERVER_ERRORS),
         (Patch(RETRIES, "if call.first_run_ms is None or call.cls.repeat is Repeat.SAFE:", "if True:"),),
     ),
     BrokenNode(
-        "the deadline is passed on as it came", Rule.DEADLINE,
+        "the deadline is passed on as it came",
+        Rule.DEADLINE,
         (FaultKind.PROXY_HOLD, FaultKind.SERVER_ERRORS),
         (Patch(NODE, "max(0.0, due_ms - now_ms()))", "live.message.budget_ms)"),),
     ),
     BrokenNode(
-        "cold servers get all that there is, whatever they hold", Rule.FAILBACK,
+        "cold servers get all that there is, whatever they hold",
+        Rule.FAILBACK,
         (FaultKind.SERVER_RESTART,),
-        (Patch("nickelbridge/slow_start.py",
-               "if server.started_ms is None or not settings.ramp_time_ms:\n            return 1.0",
-               "return 1.0 if server.started_ms is None else 50.0"),
-         Patch(SELECTION, "speed = max(warmth * server.speed(now, self._usual.share), LEAST_SPEED)",
-               "speed = warmth"),
-         Patch(SELECTION, "selectable = has_budget and server.inflight < server.inflight_limit",
-               "selectable = has_budget"),
-         Patch(SELECTION, "rotation, (server.inflight - lost) / server.part, weight)",
-               "rotation, 0.0, weight)")),
+        (
+            Patch(
+                "workspond/policy/slow_start.py",
+                "if server.started_ms is None or not settings.ramp_time_ms:\n            return 1.0",
+                "return 1.0 if server.started_ms is None else 50.0",
+            ),
+            Patch(
+                SELECTION,
+                "speed = max(warmth * server.speed(now, self._usual.share), LEAST_SPEED)",
+                "speed = warmth",
+            ),
+            Patch(
+                SELECTION,
+                "selectable = has_budget and server.inflight < server.inflight_limit",
+                "selectable = has_budget",
+            ),
+            Patch(
+                SELECTION,
+                "rotation, (server.inflight - lost) / server.part, weight)",
+                "rotation, 0.0, weight)",
+            ),
+        ),
     ),
     BrokenNode(
-        "a planned end closes connections over requests", Rule.LOST, (FaultKind.NODE_STOP,),
+        "a planned end closes connections over requests",
+        Rule.LOST,
+        (FaultKind.NODE_STOP,),
         (Patch(NODE, "        self.frontend.fail_ready_checks()\n", "        self.frontend.abort()\n"),),
     ),
     BrokenNode(
-        "changes of the list are not taken", Rule.DRAIN, (FaultKind.SERVER_DRAIN,),
-        (Patch("orchidferry/discovery.py", "if listing.whole or listing.entries:\n            self._news",
-               "if listing.whole:\n            self._news"),),
+        "changes of the list are not taken",
+        Rule.DRAIN,
+        (FaultKind.SERVER_DRAIN,),
+        (
+            Patch(
+                WATCHER,
+                "if listing.whole or listing.entries:\n            self._news",
+                "if listing.whole:\n            self._news",
+            ),
+        ),
     ),
     BrokenNode(
-        "answers are swapped", Rule.LOST, (FaultKind.SERVER_SLOW,),
-        (Patch(NODE, "Reply(200, answer.body, answer.content_type)",
-               "Reply(200, vars(self).setdefault('_swap', [b'']).pop(), answer.content_type)"),
-         Patch(NODE, "            settled = action.id not in self._live\n            report",
-               "            settled = action.id not in self._live\n"
-               "            vars(self).setdefault('_swap', []).append(answer.body if answer else b'')\n"
-               "            report")),
+        "answers are swapped",
+        Rule.LOST,
+        (FaultKind.SERVER_SLOW,),
+        (
+            Patch(
+                NODE,
+                "Reply(200, answer.body, answer.content_type)",
+                "Reply(200, vars(self).setdefault('_swap', [b'']).pop(), answer.content_type)",
+            ),
+            Patch(
+                NODE,
+                "            settled = action.id not in self._live\n            report",
+                "            settled = action.id not in self._live\n"
+                "            vars(self).setdefault('_swap', []).append(answer.body if answer else b'')\n"
+                "            report",
+            ),
+        ),
     ),
     BrokenNode(
-        "a reset ends an answer with no length", Rule.LOST, (FaultKind.SERVER_NO_LENGTH,),
-        (Patch("orchidferry/upstream.py", "        self._lost = True\n        self._pool.forget(self)\n",
-               "        self.eof_received()\n        self._lost = True\n        self._pool.forget(self)\n"),),
+        "a reset ends an answer with no length",
+        Rule.LOST,
+        (FaultKind.SERVER_NO_LENGTH,),
+        (
+            Patch(
+                POOL,
+                "        self._lost = True\n        self._pool.forget(self)\n",
+                "        self.eof_received()\n        self._lost = True\n        self._pool.forget(self)\n",
+            ),
+        ),
     ),
     BrokenNode(
-        "attempts are given up and left open", Rule.DUPLICATE, (FaultKind.PROXY_HOLD, FaultKind.SERVER_HANG),
-        (Patch("orchidferry/upstream.py", "        attempt.carried_by(self.close)\n", ""),),
+        "attempts are given up and left open",
+        Rule.DUPLICATE,
+        (FaultKind.PROXY_HOLD, FaultKind.SERVER_HANG),
+        (Patch(POOL, "        attempt.carried_by(self.close)\n", ""),),
     ),
     BrokenNode(
-        "failures are not answered", Rule.LOST, (FaultKind.SERVER_ERRORS,),
+        "failures are not answered",
+        Rule.LOST,
+        (FaultKind.SERVER_ERRORS,),
         (Patch(NODE, 'self._finish(action.id, Reply(502, b"failed"))', "self._drop(self._live[action.id])"),),
     ),
     BrokenNode(
-        "half a request is waited for without end", Rule.PEER, (FaultKind.CALLERS_HALF,),
-        (Patch("orchidferry/stages.py", "    Stage.NEW: 2.0,", "    Stage.NEW: 20.0,"),),
+        "half a request is waited for without end",
+        Rule.PEER,
+        (FaultKind.CALLERS_HALF,),
+        (Patch("workspond/downstream/connection_states.py", "    Stage.NEW: 2.0,", "    Stage.NEW: 20.0,"),),
     ),
     BrokenNode(
-        "the process ends at a reload", Rule.CRASH, (FaultKind.NODE_RELOAD,),
-        (Patch("orchidferry/__main__.py",
-               "    loop.add_signal_handler(signal.SIGHUP, reload, node, path)\n", ""),),
+        "the process ends at a reload",
+        Rule.CRASH,
+        (FaultKind.NODE_RELOAD,),
+        (
+            Patch(
+                "workspond/__main__.py",
+                "    loop.add_signal_handler(signal.SIGHUP, reload, node, path)\n",
+                "",
+            ),
+        ),
     ),
-)  # fmt: skip
+)
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Group, Health, ListKind, Repeat, Result
+from workspond.policy import interface as api
+from workspond.policy.interface import Group, Health, ListKind, Repeat, Result
 
 
 class Broken(AssertionError):
--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from nickelbridge import interface as api
-from nickelbridge.balancer import Balancer
-from nickelbridge.interface import Result
+from workspond.policy import interface as api
+from workspond.policy.balancer import Balancer
+from workspond.policy.interface import Result
 
 START, RAMP_MS, FACTOR, SPAN_MS = 0.2, 10_000.0, 2.5, 1_500.0
 HOP_MS = 1.0  # each way
@@ -103,10 +103,18 @@
 
     def _start(self, number: int) -> Balancer:
         settings = api.Settings(
-            classes=[work.cls for work in self.day.classes], nodes=self.copies, number=number,
-            tier=self.day.tier, tiers=3, max_attempts=3, start_capacity=START, ramp_time_ms=RAMP_MS,
-            overload_factor=FACTOR, overload_for_ms=SPAN_MS, tick_ms=1.0,
-        )  # fmt: skip
+            classes=[work.cls for work in self.day.classes],
+            nodes=self.copies,
+            number=number,
+            tier=self.day.tier,
+            tiers=3,
+            max_attempts=3,
+            start_capacity=START,
+            ramp_time_ms=RAMP_MS,
+            overload_factor=FACTOR,
+            overload_for_ms=SPAN_MS,
+            tick_ms=1.0,
+        )
         node = Balancer(settings, self._rng.getrandbits(32))
         self._do(number, node, api.Started())
         self._do(number, node, self._list(self._told[number]))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from orchidferry import upstream
 from tests.known_red import BadKnownRed, load_known_failures
+from workspond.upstream import connection_pool as upstream
 
 
 @pytest.fixture(autouse=True)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.balancer import Balancer
+from workspond.policy import interface as api
+from workspond.policy.balancer import Balancer
 
 SAFE = api.RequestClass("safe", 1000.0, 3000.0, 1.0, repeat=api.Repeat.SAFE)
 KEYED = api.RequestClass("keyed", 1000.0, 3000.0, 2.0, 0.0, api.Repeat.KEYED, api.Group.CELL, 2000.0)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -14,9 +14,9 @@
 
 import uvloop
 
-from orchidferry.config import read_config
-from orchidferry.node import Node
 from tests.test_wire import ENV
+from workspond.config import read_config
+from workspond.node import Node
 
 LIMIT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
 
@@ -145,8 +145,16 @@
         return data
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        return {"name": self.name, "address": self.address, "zone": "z1", "type": "k1", "group": self.group,
-                "status": "active", "weight": 1.0, "since_ms": 0} | changes  # fmt: skip
+        return {
+            "name": self.name,
+            "address": self.address,
+            "zone": "z1",
+            "type": "k1",
+            "group": self.group,
+            "status": "active",
+            "weight": 1.0,
+            "since_ms": 0,
+        } | changes
 
 
 class Registry(Peer):
@@ -282,11 +290,14 @@
         await peer.start()
     registry.whole = [server.entry() for server in servers]
     config = {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": registry.address, "seed": "8c1f30d27a5be964",
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": registry.address,
+        "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
         "known": {"index": 1, "snapshot": True, "endpoints": registry.whole if known else []},
         "settings": settings(**changes),
-    }  # fmt: skip
+    }
     file = path / "config.json"
     file.write_text(json.dumps(config))
     scene = World(config, file, registry, list(servers))
--- a/tests/plain_selection.py
+++ b/tests/plain_selection.py
@@ -5,10 +5,10 @@
 import math
 from random import Random
 
-from nickelbridge.call import Call
-from nickelbridge.rotation import rounded
-from nickelbridge.server import Server
-from nickelbridge.server_selection import ServerSelector
+from workspond.policy.call import Call
+from workspond.policy.server import Server
+from workspond.policy.server_selection import ServerSelector
+from workspond.policy.weighted_round_robin import rounded
 
 STALE = 0.25  # by which a weight that is kept may be off: `WEIGHT_STEP` for each of what fades or grows
 
--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from nickelbridge.wirehost import serve
+from workspond.simulator_adapter import serve
 from tests.recorded_sessions import SESSIONS, Session
 from tests.wire_simulation import Simulation
 
--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -16,12 +16,12 @@
 
 import pytest
 
-from orchidferry.__main__ import listen
-from orchidferry.config import read_config
-from orchidferry.listener import Listener
-from orchidferry.node import Node
 from tests.peers import LIMIT_S, Registry, Server, request, run, until, world
 from tests.test_node import Program
+from workspond.__main__ import listen
+from workspond.config import read_config
+from workspond.downstream.listener import Listener
+from workspond.node import Node
 
 SHORTAGE_S = 0.5
 
@@ -80,9 +80,17 @@
 
 
 ERRORS = (
-    errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED, errno.EPROTO, errno.EPERM,
-    errno.ENETDOWN, errno.EHOSTUNREACH, errno.ETIMEDOUT,
-)  # fmt: skip
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.EPERM,
+    errno.ENETDOWN,
+    errno.EHOSTUNREACH,
+    errno.ETIMEDOUT,
+)
 
 
 @pytest.mark.parametrize("error", ERRORS, ids=[errno.errorcode[number] for number in ERRORS])
@@ -145,7 +153,7 @@
     error: int, tries: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Found by the soak: a node that restarted while descriptors ran short ended with status 2."""
-    monkeypatch.setattr("orchidferry.__main__.LISTEN_EVERY_S", 0.01)
+    monkeypatch.setattr("workspond.__main__.LISTEN_EVERY_S", 0.01)
     calls = []
 
     def fail(real: Callable[..., Listener], *args: Any) -> Listener:
@@ -157,7 +165,7 @@
     async def test() -> None:
         async with world(tmp_path, Server(), start=False) as scene:
             scene.node = Node(read_config(str(scene.path)), asyncio.get_running_loop())
-            monkeypatch.setattr("orchidferry.frontend.Listener", functools.partial(fail, Listener))
+            monkeypatch.setattr("workspond.downstream.frontend.Listener", functools.partial(fail, Listener))
             if tries > 1:
                 scene.address = await listen(scene.node, ("127.0.0.1", 0))
                 scene.node.start()
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.admission import START
-from nickelbridge.balancer import Balancer
-from nickelbridge.fleet import SLICES
-from nickelbridge.interface import Result
-from nickelbridge.list_subscription import ASK_LONGEST_MS
-from nickelbridge.retry_policy import RETRY_WAIT_MS, RETRY_WAIT_SHARE
 from tests.helpers import Node, ends, entries, sends, timers
+from workspond.policy import interface as api
+from workspond.policy.admission import START
+from workspond.policy.balancer import Balancer
+from workspond.policy.fleet import SLICES
+from workspond.policy.interface import Result
+from workspond.policy.retry_policy import RETRY_WAIT_MS, RETRY_WAIT_SHARE
+from workspond.policy.subscription_backoff import ASK_LONGEST_MS
 
 
 def test_first_sends_take_even_turns() -> None:
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -21,10 +21,18 @@
 
 @pytest.mark.parametrize(
     "arguments",
-    [(), ("decisions", "--servers", "0"), ("decisions", "--servers", "many"), ("decisions", "--states", "x"),
-     ("decisions", "--servers", "1000000"), ("calls", "--rate", "nan"), ("calls", "--seconds", "1e9"),
-     ("calls", "--root", "/nowhere"), ("calls", "--rounds", "21")],
-)  # fmt: skip
+    [
+        (),
+        ("decisions", "--servers", "0"),
+        ("decisions", "--servers", "many"),
+        ("decisions", "--states", "x"),
+        ("decisions", "--servers", "1000000"),
+        ("calls", "--rate", "nan"),
+        ("calls", "--seconds", "1e9"),
+        ("calls", "--root", "/nowhere"),
+        ("calls", "--rounds", "21"),
+    ],
+)
 def test_bad_arguments_are_told_and_status_2(arguments: tuple[str, ...]) -> None:
     done = bench(*arguments)
     assert done.returncode == 2 and not done.stdout
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -8,10 +8,12 @@
 
 import pytest
 
-from orchidferry import frontend, node, stages
-from orchidferry.caller import CallerConnection
-from orchidferry.stages import Stage
 from tests.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
+from workspond import node
+from workspond.downstream import connection_states as stages
+from workspond.downstream import frontend
+from workspond.downstream.client_connection import CallerConnection
+from workspond.downstream.connection_states import Stage
 
 
 @pytest.fixture
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from orchidferry.config import Listing, now_ms, read_listing, server_id
-from orchidferry.starts import StartTimes
 from tests.peers import Server, World, run, until, world
+from workspond.config import Listing, now_ms, read_listing, server_id
+from workspond.discovery.incarnations import StartTimes
 
 HOUR_S = 3600.0
 UP_S = 600.0  # how long all servers have been up
@@ -118,7 +118,7 @@
 
 
 def test_what_is_remembered_of_servers_that_left_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("orchidferry.starts.MOST_REMEMBERED", 3)
+    monkeypatch.setattr("workspond.discovery.incarnations.MOST_REMEMBERED", 3)
     starts = StartTimes()
     for n in range(10):
         entry = {"name": f"s{n}", "address": "127.0.0.1:1", "status": "active", "since_ms": 1000.0}
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from nickelbridge.admission import ADDED, START, WINDOW_SHARE, window
-from nickelbridge.retry_controller import PHASE_MARGIN, RetryController
+from workspond.policy.admission import ADDED, START, WINDOW_SHARE, window
+from workspond.policy.retry_controller import PHASE_MARGIN, RetryController
 
 
 def steady(controller: RetryController, delay_ms: float, count: int, gap_ms: float = 100.0) -> float:
--- a/tests/test_event_counts.py
+++ b/tests/test_event_counts.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from orchidferry.event_counts import Event, EventCounts
 from tests.peers import RESET, Server, run, world
+from workspond.observability.counters import Event, EventCounts
 
 
 def test_a_line_tells_what_is_new_since_the_last() -> None:
@@ -35,6 +35,11 @@
 
     run(test())
     [line] = [message for message in caplog.messages if message.startswith("counts: ")]
-    for part in ("answered[200]=1", "answered[502]=1", "attempt[RESET]=1", "attempt[SERVED]=1",
-                 "closed[rejected with 400]=1"):  # fmt: skip
+    for part in (
+        "answered[200]=1",
+        "answered[502]=1",
+        "attempt[RESET]=1",
+        "attempt[SERVED]=1",
+        "closed[rejected with 400]=1",
+    ):
         assert part in line
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from nickelbridge import request_queue
 from tests.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
+from workspond.policy import request_queue
 
 BUSY_S = 0.3  # of a loop that does not run
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -15,8 +15,10 @@
     ]
 
 
-@pytest.mark.parametrize("text", ["tests/test_x.py::test_y", "tests/test_x.py::test_y: no reason given",
-                                  f"{LINE}\n" * (MOST_LISTED + 1)])  # fmt: skip
+@pytest.mark.parametrize(
+    "text",
+    ["tests/test_x.py::test_y", "tests/test_x.py::test_y: no reason given", f"{LINE}\n" * (MOST_LISTED + 1)],
+)
 def test_a_line_without_a_cause_and_a_long_list_are_refused(text: str) -> None:
     with pytest.raises(BadKnownRed):
         read_known_failures(text)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MODULES = sorted((ROOT / "nickelbridge").glob("*.py"))
+MODULES = sorted((ROOT / "workspond" / "policy").glob("*.py"))
 MOST_LINES = 330  # that are not blank, of one module
 
 
--- a/tests/test_listing_reader.py
+++ b/tests/test_listing_reader.py
@@ -10,18 +10,24 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.settings import Malformed
-from orchidferry.config import Listing, read_listing, server_id
-from orchidferry.listing_reader import ListingReader
 from tests.peers import Server, run, until, world
+from workspond.config import Listing, read_listing, server_id
+from workspond.discovery.endpoint_list_reader import ListingReader
+from workspond.policy import interface as api
+from workspond.settings_reader import Malformed
 
 
 def endpoint(number: int, **changes: Any) -> dict[str, Any]:
     return {
-        "name": f"s{number}", "address": f"10.0.0.{number}:9000", "zone": "a", "type": "k", "group": 1,
-        "status": "active", "weight": 1.0, "since_ms": 0,
-    } | changes  # fmt: skip
+        "name": f"s{number}",
+        "address": f"10.0.0.{number}:9000",
+        "zone": "a",
+        "type": "k",
+        "group": 1,
+        "status": "active",
+        "weight": 1.0,
+        "since_ms": 0,
+    } | changes
 
 
 def written(endpoints: list[dict[str, Any]], snapshot: bool = True, indent: int | None = None) -> bytes:
@@ -79,9 +85,16 @@
 
 @pytest.mark.parametrize(
     "endpoints",
-    [[], [endpoint(1, name="a{b")], [endpoint(1, name="a{}b")], [endpoint(1, name='"endpoints":[{}]')],
-     [endpoint(1, tags={"a": {"b": 1}})], [endpoint(1, name="ä")], [endpoint(1), endpoint(1, zone="b")]],
-)  # fmt: skip
+    [
+        [],
+        [endpoint(1, name="a{b")],
+        [endpoint(1, name="a{}b")],
+        [endpoint(1, name='"endpoints":[{}]')],
+        [endpoint(1, tags={"a": {"b": 1}})],
+        [endpoint(1, name="ä")],
+        [endpoint(1), endpoint(1, zone="b")],
+    ],
+)
 @pytest.mark.parametrize("indent", [None, 2])
 def test_lists_of_other_forms_are_read_too(endpoints: list[dict[str, Any]], indent: int | None) -> None:
     reader, told, expected = ListingReader(), Told(), Told()
@@ -94,11 +107,18 @@
 
 @pytest.mark.parametrize(
     "body",
-    [b"", b"[]", b'{"index": 1, "snapshot": true}', b'{"index": 1, "snapshot": true, "endpoints": [{}]}',
-     written([endpoint(1)])[:-1], written([endpoint(1)]).replace(b"}]}", b"},]}"),
-     written([endpoint(1)]).replace(b'"s1"', b"s1"), written([endpoint(1, status="ill")]),
-     b'{"a": {"endpoints": [{}]}, "index": 1, "snapshot": true}'],
-)  # fmt: skip
+    [
+        b"",
+        b"[]",
+        b'{"index": 1, "snapshot": true}',
+        b'{"index": 1, "snapshot": true, "endpoints": [{}]}',
+        written([endpoint(1)])[:-1],
+        written([endpoint(1)]).replace(b"}]}", b"},]}"),
+        written([endpoint(1)]).replace(b'"s1"', b"s1"),
+        written([endpoint(1, status="ill")]),
+        b'{"a": {"endpoints": [{}]}, "index": 1, "snapshot": true}',
+    ],
+)
 def test_a_spoilt_list_is_refused_and_changes_nothing(body: bytes) -> None:
     reader = ListingReader()
     reader.read(written([endpoint(n) for n in range(5)]))
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from orchidferry.log_output import LineHandler, LineWriter
 from tests.peers import LIMIT_S, RESET, Server, World, free_port, run, until, world
 from tests.test_wire import ROOT
+from workspond.observability.log_output import LineHandler, LineWriter
 
 
 @pytest.fixture
@@ -40,9 +40,13 @@
     host, _, port = listen.rpartition(":")
     closing = " ".join(f"{descriptor}>&-" for descriptor in closed)
     process = await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", f"exec {sys.executable} -m orchidferry {closing}", cwd=ROOT, stderr=stderr,
+        "/bin/sh",
+        "-c",
+        f"exec {sys.executable} -m workspond {closing}",
+        cwd=ROOT,
+        stderr=stderr,
         env=os.environ | {"NODE_CONFIG": str(scene.path)},
-    )  # fmt: skip
+    )
     scene.processes.append(process)
     scene.address = (host, int(port))
     await until(lambda: scene.registry.watches() > 0)
@@ -148,9 +152,13 @@
 ) -> None:
     async def test() -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "orchidferry", cwd=ROOT, stderr=full_pipe[1],
+            sys.executable,
+            "-m",
+            "workspond",
+            cwd=ROOT,
+            stderr=full_pipe[1],
             env=os.environ | {"NODE_CONFIG": str(tmp_path / "none")},
-        )  # fmt: skip
+        )
         assert await asyncio.wait_for(process.wait(), LIMIT_S) == 2
 
     run(test())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,11 +15,6 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge import retry_policy
-from nickelbridge.balancer import Balancer
-from nickelbridge.bucket import Bucket
-from orchidferry.config import address, server_id
 from tests.peers import (
     CLOSE,
     HANG,
@@ -34,6 +29,11 @@
     world,
 )
 from tests.test_wire import ROOT
+from workspond.config import address, server_id
+from workspond.policy import interface as api
+from workspond.policy import retry_policy
+from workspond.policy.balancer import Balancer
+from workspond.policy.token_bucket import Bucket
 
 
 def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
@@ -138,13 +138,25 @@
 
 @pytest.mark.parametrize(
     "spoilt",
-    [CLOSE, answer(503), answer(200, b"{"), answer(200, b"[]"), answer(200, b'{"index":2}'), b"\x00\r\n\r\n",
-     answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'),
-     answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
-     answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1",'
-            b'"status":"active","since_ms":1' + b"0" * 400 + b"}]}"),
-     answer(200, b"[" * 100_000)],
-)  # fmt: skip
+    [
+        CLOSE,
+        answer(503),
+        answer(200, b"{"),
+        answer(200, b"[]"),
+        answer(200, b'{"index":2}'),
+        b"\x00\r\n\r\n",
+        answer(
+            200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'
+        ),
+        answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
+        answer(
+            200,
+            b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1",'
+            b'"status":"active","since_ms":1' + b"0" * 400 + b"}]}",
+        ),
+        answer(200, b"[" * 100_000),
+    ],
+)
 def test_a_failed_watch_is_asked_again_and_the_old_list_stays(spoilt: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
@@ -171,8 +183,11 @@
             scene.registry.tell(index=0)
             await until(lambda: scene.registry.watches() == 2)
             assert [seen.target.partition("&")[0] for seen in scene.registry.seen] == [
-                "/api/targets", "/api/targets?index=1", "/api/targets", "/api/targets?index=0",
-            ]  # fmt: skip
+                "/api/targets",
+                "/api/targets?index=1",
+                "/api/targets",
+                "/api/targets?index=0",
+            ]
 
     run(test())
 
@@ -470,7 +485,7 @@
 def test_a_request_that_ends_badly_is_told_in_the_log_with_its_attempts(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    caplog.set_level(logging.INFO, "orchidferry")
+    caplog.set_level(logging.INFO, "workspond")
 
     async def test() -> None:
         server = Server(answer(), answer(500))
@@ -492,7 +507,7 @@
 
 
 def test_the_log_of_bad_ends_is_bounded(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    caplog.set_level(logging.INFO, "orchidferry")
+    caplog.set_level(logging.INFO, "workspond")
 
     async def test() -> None:
         async with world(tmp_path, Server(usual=answer(500))) as scene:
@@ -531,7 +546,8 @@
     "odd coding": (b"POST /pay HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
     "chunks in HTTP/1.0": (b"POST /pay HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
     "chunks and length": (
-        b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 400
+        b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
+        400,
     ),
     "unknown class": (request("q", "nonsense"), 400),
     "no class": (request("q", ""), 400),
@@ -546,12 +562,13 @@
     "negative length": (b"POST /pay HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
     "two lengths": (b"POST /pay HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", 400),
     "length and chunks": (
-        b"POST /pay HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400
+        b"POST /pay HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        400,
     ),
     "one huge header": (b"GET /read HTTP/1.1\r\nX-Pad: " + b"x" * 100_000, 431),
     "many headers": (b"GET /read HTTP/1.1\r\n" + b"X-Pad: 1\r\n" * 10_000, 431),
     "huge target": (b"GET /" + b"x" * 100_000 + b" HTTP/1.1\r\n\r\n", 431),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize(("data", "status"), BAD.values(), ids=BAD.keys())
@@ -672,9 +689,14 @@
 
     env = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "orchidferry", cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=limit,
+        sys.executable,
+        "-m",
+        "workspond",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit,
         env=env | ({"NODE_CONFIG": str(path)} if path else {}),
-    )  # fmt: skip
+    )
 
 
 def test_sigterm_finishes_what_is_held_and_exits_0(tmp_path: Path) -> None:
@@ -701,16 +723,25 @@
 
 @pytest.mark.parametrize(
     ("text", "words"),
-    [(None, "NODE_CONFIG"), ("", "No such file"), ("{", "not JSON"), ("[]", "object"),
-     ("{}", "'name' is missing"),
-     ('{"name":"n","listen":"nowhere"}', "nowhere"),
-     ('{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"zz"}', "seed"),
-     ('{"name":"n","listen":"127.0.0.1:\u00b2"}', "no address"),
-     ('{"name":"n","listen":"a\\u0000b:80"}', "no address"),
-     ('{"name":"n","listen":"127.0.0.1:1","discovery":"' + "a" * 64 + '.b:80"}', "no address"),
-     ('{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1'
-      + "0" * 400 + "}}", "too large")],
-)  # fmt: skip
+    [
+        (None, "NODE_CONFIG"),
+        ("", "No such file"),
+        ("{", "not JSON"),
+        ("[]", "object"),
+        ("{}", "'name' is missing"),
+        ('{"name":"n","listen":"nowhere"}', "nowhere"),
+        ('{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"zz"}', "seed"),
+        ('{"name":"n","listen":"127.0.0.1:\u00b2"}', "no address"),
+        ('{"name":"n","listen":"a\\u0000b:80"}', "no address"),
+        ('{"name":"n","listen":"127.0.0.1:1","discovery":"' + "a" * 64 + '.b:80"}', "no address"),
+        (
+            '{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1'
+            + "0" * 400
+            + "}}",
+            "too large",
+        ),
+    ],
+)
 def test_a_bad_configuration_is_one_line_and_status_2(text: str | None, words: str, tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -14,13 +14,13 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.balancer import Balancer
-from nickelbridge.interface import Result
-from orchidferry import upstream
-from orchidferry.config import Address
-from orchidferry.upstream import Answer, Connection, Upstream, read_report
 from tests.peers import CLOSE, HANG, LIMIT_S, RESET, Peer, Seen, Server, answer, request, run, until, world
+from workspond.config import Address
+from workspond.policy import interface as api
+from workspond.policy.balancer import Balancer
+from workspond.policy.interface import Result
+from workspond.upstream import connection_pool as upstream
+from workspond.upstream.connection_pool import Answer, Connection, Upstream, read_report
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
@@ -47,11 +47,15 @@
     "bad length": b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nabcde",
     "huge length": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
     "long body": answer(200, b"x" * (64 * 1024 + 1)),
-    "long chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"8000\r\n" + b"x" * 0x8000
-    + b"\r\n8000\r\n" + b"x" * 0x8000 + b"\r\n1\r\nx\r\n0\r\n\r\n",
+    "long chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    + b"8000\r\n"
+    + b"x" * 0x8000
+    + b"\r\n8000\r\n"
+    + b"x" * 0x8000
+    + b"\r\n1\r\nx\r\n0\r\n\r\n",
     "long head": b"HTTP/1.1 200 OK\r\nX-Pad: " + b"x" * 100_000,
     "upgrade": b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
-}  # fmt: skip
+}
 NEVER_RAN = {
     "503 turned away": answer(503, headers="X-Rejected: 1\r\n"),
     "504 turned away": answer(504, headers="X-Rejected: 1\r\n"),
@@ -162,7 +166,7 @@
 
         self.upstream.send(
             1, self.address, lambda: request(id), 20_000.0, lambda: alive is None or alive[0], ended
-        )  # fmt: skip
+        )
 
     async def result(self, count: int) -> Result:
         await until(lambda: len(self.results) == count)
@@ -230,9 +234,13 @@
             ended = loop.create_future()
             sent_s = time.monotonic()
             attempts.upstream.send(
-                1, attempts.address, lambda: request("a"), timeout_s * 1000.0, lambda: True,
+                1,
+                attempts.address,
+                lambda: request("a"),
+                timeout_s * 1000.0,
+                lambda: True,
                 lambda result, _: ended.set_result(result),
-            )  # fmt: skip
+            )
             connection, _ = await asyncio.to_thread(listener.accept)
             connection.settimeout(LIMIT_S)
             assert await asyncio.to_thread(connection.recv, 65536)
@@ -372,10 +380,12 @@
 
 @pytest.mark.parametrize(
     ("problem", "result"),
-    [(OSError(errno.EMFILE, "too many open files"), Result.MOOT),
-     (OSError(errno.ECONNREFUSED, "refused"), Result.UNREACHABLE),
-     (RuntimeError("a fault"), Result.UNREACHABLE)],
-)  # fmt: skip
+    [
+        (OSError(errno.EMFILE, "too many open files"), Result.MOOT),
+        (OSError(errno.ECONNREFUSED, "refused"), Result.UNREACHABLE),
+        (RuntimeError("a fault"), Result.UNREACHABLE),
+    ],
+)
 def test_a_dial_that_fails_ends_its_attempt_and_our_own_shortage_is_not_the_servers(
     problem: Exception, result: Result, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -410,9 +420,13 @@
         attempts = Attempts(server.address)
         for n in range(20):
             attempt = attempts.upstream.send(
-                1, attempts.address, lambda: request("a"), 20_000.0, lambda: True,
+                1,
+                attempts.address,
+                lambda: request("a"),
+                20_000.0,
+                lambda: True,
                 lambda result, answer: attempts.results.append(result),
-            )  # fmt: skip
+            )
             for _ in range(n % 4):  # at each step of it
                 await asyncio.sleep(0)
             attempt.break_off(Result.CANCELLED)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -12,14 +12,14 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from nickelbridge import interface as api
-from nickelbridge import server as server_module
-from nickelbridge.balancer import Balancer
-from nickelbridge.interface import Result
-from nickelbridge.retry_policy import NEVER_RAN, RetryPolicy
-from nickelbridge.server import Server
 from tests.checker import Broken, Checker
 from tests.helpers import settings
+from workspond.policy import interface as api
+from workspond.policy import server as server_module
+from workspond.policy.balancer import Balancer
+from workspond.policy.interface import Result
+from workspond.policy.retry_policy import NEVER_RAN, RetryPolicy
+from workspond.policy.server import Server
 
 RESULTS = list(Result)
 WEIGHTS = [12, 3, 3, 1, 3, 1, 1, 0]
@@ -193,7 +193,7 @@
             return result not in NEVER_RAN
 
     with monkeypatch.context() as patch:
-        patch.setattr("nickelbridge.balancer.RetryPolicy", TrustsRefusals)
+        patch.setattr("workspond.policy.balancer.RetryPolicy", TrustsRefusals)
         assert breaks(full_may_have_run=True).startswith("rule 2")
 
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from orchidferry.config import address
 from tests.peers import LIMIT_S, Caller, Server, run, world
 from tests.test_node import spawn
+from workspond.config import address
 
 AT_ONCE = 20  # a tenth of a fleet of 200
 READY_S, SHARE = 10.0, 0.9  # so many have to be ready by then
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from nickelbridge.wirehost import serve
+from workspond.simulator_adapter import serve
 from tests.record_decisions import record
 from tests.recorded_sessions import SESSIONS, Session
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,10 +12,11 @@
 
 import pytest
 
-from orchidferry import agent_link, discovery
-from orchidferry.config import Listing
 from tests.peers import HANG, LIMIT_S, Registry, Seen, Server, World, request, run, until, world
 from tests.test_node import Program
+from workspond.config import Listing
+from workspond.discovery import agent_client as agent_link
+from workspond.discovery import watcher as discovery
 
 
 def write(scene: World, registry: Registry) -> None:
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from nickelbridge.interface import Result
-from nickelbridge.retry_policy import RetryPolicy
-from orchidferry.config import now_ms
-from orchidferry.send_guard import AttemptLog, Refusal, SendGuard
 from tests.helpers import settings
 from tests.peers import RESET, Server, run, world
+from workspond.config import now_ms
+from workspond.policy.interface import Result
+from workspond.policy.retry_policy import RetryPolicy
+from workspond.upstream.send_guard import AttemptLog, Refusal, SendGuard
 
 SERVER, ADDRESS = 7, ("127.0.0.1", 9000)
 
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -13,17 +13,17 @@
 from hypothesis import strategies as st
 
 from bench.decisions import Case, Program, Run, State
-from nickelbridge import balancer
-from nickelbridge import interface as api
-from nickelbridge.bucket import Bucket
-from nickelbridge.rotation import Level, Place, Rotation
-from nickelbridge.server import Server
-from nickelbridge.server_group import GroupIndex
-from nickelbridge.subset import Subset
 from tests.coldfleet import Day, Fleet
 from tests.helpers import Node, entries
 from tests.plain_selection import CheckedSelector, parts
 from tests.test_property import play
+from workspond.policy import balancer
+from workspond.policy import interface as api
+from workspond.policy.deduplication_groups import GroupIndex
+from workspond.policy.server import Server
+from workspond.policy.subset import Subset
+from workspond.policy.token_bucket import Bucket
+from workspond.policy.weighted_round_robin import Level, Place, Rotation
 
 FEW, MANY = 30, 2000
 CALLS = 150
@@ -74,9 +74,12 @@
 
 @pytest.mark.parametrize(
     ("owner", "name", "broken"),
-    [(Rotation, "charge", pays_nothing), (Level, "leader", ahead_before_the_round),
-     (Rotation, "add", all_hold_alike)],
-)  # fmt: skip
+    [
+        (Rotation, "charge", pays_nothing),
+        (Level, "leader", ahead_before_the_round),
+        (Rotation, "add", all_hold_alike),
+    ],
+)
 def test_the_walk_notices_a_broken_index(
     owner: type, name: str, broken: object, checked: type[CheckedSelector], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -177,8 +180,13 @@
 def test_a_cold_server_that_is_seldom_looked_at_saves_up_no_more() -> None:
     """What comes into a budget grows with the ramp: a look after a long while took the last rate for all."""
     often, seldom = Bucket(0.0, 0.0), Bucket(0.0, 0.0)
-    settings = api.Settings([api.RequestClass("read", 100.0, 400.0)], start_capacity=0.2, ramp_time_ms=8000.0,
-                            overload_factor=2.5, overload_for_ms=1e6)  # fmt: skip
+    settings = api.Settings(
+        [api.RequestClass("read", 100.0, 400.0)],
+        start_capacity=0.2,
+        ramp_time_ms=8000.0,
+        overload_factor=2.5,
+        overload_for_ms=1e6,
+    )
     saved = []
     for bucket, step in ((often, 10), (seldom, 2000)):
         node = balancer.Balancer(settings, 1)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
 from tests.helpers import SAFE, Node, ends, entries, settings
+from workspond.policy import interface as api
+from workspond.policy.interface import Result
 
 
 @pytest.mark.parametrize(
--- a/tests/test_slow_lists.py
+++ b/tests/test_slow_lists.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from orchidferry import agent_link
 from tests.peers import CLOSE, RESET, Registry, Seen, Server, run, until, world
+from workspond.discovery import agent_client as agent_link
 
 PIECES = 15
 PIECE_EVERY_S = 0.1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -34,8 +34,20 @@
     broken.write(folder)
     for seed in SEEDS:
         kinds = ",".join(kind.value for kind in broken.kinds)
-        done = soak("--seed", str(seed), "--seconds", str(SECONDS), "--nodes", str(NODES),
-                    "--kinds", kinds, "--rate", str(broken.rate), "--root", str(folder))  # fmt: skip
+        done = soak(
+            "--seed",
+            str(seed),
+            "--seconds",
+            str(SECONDS),
+            "--nodes",
+            str(NODES),
+            "--kinds",
+            kinds,
+            "--rate",
+            str(broken.rate),
+            "--root",
+            str(folder),
+        )
         lines = [json.loads(line) for line in done.stdout.splitlines()]
         if any(line.get("rule") == broken.rule.value for line in lines):
             assert done.returncode == 1
@@ -46,8 +58,13 @@
 def test_each_broken_node_is_found_by_the_rule_that_it_breaks(tmp_path: Path) -> None:
     with ThreadPoolExecutor(AT_A_TIME) as pool:
         folders = [tmp_path / f"{n}" for n in range(len(BROKEN_NODES))]
-        found = dict(zip((broken.name for broken in BROKEN_NODES),
-                         pool.map(seed_that_finds, BROKEN_NODES, folders), strict=True))  # fmt: skip
+        found = dict(
+            zip(
+                (broken.name for broken in BROKEN_NODES),
+                pool.map(seed_that_finds, BROKEN_NODES, folders),
+                strict=True,
+            )
+        )
     print(found)
     assert all(found.values()), found
 
@@ -61,9 +78,14 @@
 
 @pytest.mark.parametrize(
     "arguments",
-    [("--nodes", "0"), ("--seconds", "1"), ("--kinds", "nonsense"), ("--schedule", "/nowhere"),
-     ("--schedule", str(ROOT / "README.md"))],
-)  # fmt: skip
+    [
+        ("--nodes", "0"),
+        ("--seconds", "1"),
+        ("--kinds", "nonsense"),
+        ("--schedule", "/nowhere"),
+        ("--schedule", str(ROOT / "README.md")),
+    ],
+)
 def test_bad_arguments_are_told_and_status_2(arguments: tuple[str, str]) -> None:
     done = soak(*arguments)
     assert done.returncode == 2 and not done.stdout
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -13,17 +13,24 @@
 
 import pytest
 
-from nickelbridge.list_subscription import ASK_LONGEST_MS
-from orchidferry import agent_link, discovery, node
-from orchidferry.config import Listing
 from tests.peers import Server, answer, read_message, run, until, world
+from workspond import node
+from workspond.config import Listing
+from workspond.discovery import agent_client as agent_link
+from workspond.discovery import watcher as discovery
+from workspond.policy.subscription_backoff import ASK_LONGEST_MS
 
 TOLD_MS = 6000.0  # after discovery had it and could be reached, whatever became of calls
 TOLD_RELOAD_MS = 4000.0  # after SIGHUP
 REFUSED, HUNG, RESET, SILENT, HALF, CUT, BROKEN = WAYS = (
-    "refused", "a dial that hangs", "reset while waiting", "silent", "half an answer, then silence",
-    "half an answer, then its end", "status 500",
-)  # fmt: skip
+    "refused",
+    "a dial that hangs",
+    "reset while waiting",
+    "silent",
+    "half an answer, then silence",
+    "half an answer, then its end",
+    "status 500",
+)
 PUSHED = "pushed"
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,27 +15,75 @@
 ROOT = Path(__file__).parent.parent
 ENV: dict[str, Any] = {
     "classes": [
-        {"name": "read", "objective_ms": 1000.0, "give_up_ms": 3000.0, "semantics": "retryable",
-         "importance": 1.0, "late_worth": 0.2, "dedup_scope": "all", "window_ms": 5000.0, "stream": False},
-        {"name": "pay", "objective_ms": 2000.0, "give_up_ms": 6000.0, "semantics": "fragile",
-         "importance": 8.0, "late_worth": 0.2, "dedup_scope": "all", "window_ms": 5000.0, "stream": False},
-        {"name": "save", "objective_ms": 2000.0, "give_up_ms": 6000.0, "semantics": "dedup",
-         "importance": 3.0, "late_worth": 0.2, "dedup_scope": "zone", "window_ms": 5000.0, "stream": False},
+        {
+            "name": "read",
+            "objective_ms": 1000.0,
+            "give_up_ms": 3000.0,
+            "semantics": "retryable",
+            "importance": 1.0,
+            "late_worth": 0.2,
+            "dedup_scope": "all",
+            "window_ms": 5000.0,
+            "stream": False,
+        },
+        {
+            "name": "pay",
+            "objective_ms": 2000.0,
+            "give_up_ms": 6000.0,
+            "semantics": "fragile",
+            "importance": 8.0,
+            "late_worth": 0.2,
+            "dedup_scope": "all",
+            "window_ms": 5000.0,
+            "stream": False,
+        },
+        {
+            "name": "save",
+            "objective_ms": 2000.0,
+            "give_up_ms": 6000.0,
+            "semantics": "dedup",
+            "importance": 3.0,
+            "late_worth": 0.2,
+            "dedup_scope": "zone",
+            "window_ms": 5000.0,
+            "stream": False,
+        },
     ],
     "tenants": [{"name": "a", "fraction": 0.5, "quota_per_s": 20.0}],
-    "locality": "z1", "dcs": ["z1", "z2"], "host_types": ["k1"], "stages": ["front", "back"],
-    "siblings": 2, "my_number": 0, "tier": 0, "membership_mode": "on_request", "quantum_ms": 5.0,
+    "locality": "z1",
+    "dcs": ["z1", "z2"],
+    "host_types": ["k1"],
+    "stages": ["front", "back"],
+    "siblings": 2,
+    "my_number": 0,
+    "tier": 0,
+    "membership_mode": "on_request",
+    "quantum_ms": 5.0,
     "permissions": {"max_attempts": 3, "connect_timeout_ms": 100.0, "may_cancel": True, "unheard_of": 1},
-    "rules": {"ask_every_ms": 10000.0, "stop_sending_within_ms": 500.0, "start_capacity": 0.3,
-              "ramp_time_ms": 8000.0, "overload_factor": 3.0, "overload_for_ms": 1000.0},
-}  # fmt: skip
+    "rules": {
+        "ask_every_ms": 10000.0,
+        "stop_sending_within_ms": 500.0,
+        "start_capacity": 0.3,
+        "ramp_time_ms": 8000.0,
+        "overload_factor": 3.0,
+        "overload_for_ms": 1000.0,
+    },
+}
 
 
 def launch(node: str, salt: int = 7, env: dict[str, Any] = ENV) -> list[dict[str, Any]]:
     servers = [
-        {"server": n, "failure_domain": "z1" if n % 2 else "z2", "sku": "k1", "group": n % 3,
-         "health": "in_service", "share": 1, "boot_time_ms": None} for n in range(5)
-    ]  # fmt: skip
+        {
+            "server": n,
+            "failure_domain": "z1" if n % 2 else "z2",
+            "sku": "k1",
+            "group": n % 3,
+            "health": "in_service",
+            "share": 1,
+            "boot_time_ms": None,
+        }
+        for n in range(5)
+    ]
     return [
         {"kind": "Page", "bank": 0, "elements": servers},
         {"kind": "Launch", "node": node, "salt": salt, "env": env},
@@ -44,22 +92,46 @@
 
 
 def job(node: str, id: str, cls: str = "read", owner: str | None = "a") -> dict[str, Any]:
-    return {"kind": "JobIn", "node": node, "request_id": id, "type": cls, "ttl_ms": 2500.0, "owner": owner,
-            "again_by_client": False, "update": False, "entity": None, "size_hint_ms": None}  # fmt: skip
+    return {
+        "kind": "JobIn",
+        "node": node,
+        "request_id": id,
+        "type": cls,
+        "ttl_ms": 2500.0,
+        "owner": owner,
+        "again_by_client": False,
+        "update": False,
+        "entity": None,
+        "size_hint_ms": None,
+    }
 
 
 def ended(node: str, action: dict[str, Any], code: int, number: int = 0) -> dict[str, Any]:
-    return {"kind": "Completed", "node": node, "request_id": action["request_id"], "settled": code == 100,
-            "disposition": code, "duration_ms": 40.0, "server": action["server"], "send_no": number,
-            "report": None}  # fmt: skip
+    return {
+        "kind": "Completed",
+        "node": node,
+        "request_id": action["request_id"],
+        "settled": code == 100,
+        "disposition": code,
+        "duration_ms": 40.0,
+        "server": action["server"],
+        "send_no": number,
+        "report": None,
+    }
 
 
 def run(lines: list[Any], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
-        [sys.executable, "-m", "nickelbridge.wirehost"], input=text, capture_output=True, text=True, cwd=ROOT,
-        env={**os.environ, "PYTHONHASHSEED": hash_seed}, timeout=60, check=False,
-    )  # fmt: skip
+        [sys.executable, "-m", "workspond.simulator_adapter"],
+        input=text,
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        env={**os.environ, "PYTHONHASHSEED": hash_seed},
+        timeout=60,
+        check=False,
+    )
 
 
 def batch(number: int, *items: dict[str, Any], now: float | None = None) -> dict[str, Any]:
@@ -111,17 +183,30 @@
     both = replies(run(day(["node-0", "node-1"])))
     assert both == replies(run(day(["node-0", "node-1"]), hash_seed="4242"))
     for n, node in enumerate(["node-0", "node-1"]):
-        lines = day([node]) if n == 0 else [
-            {**line, "items": [i for i in line["items"] if i.get("node", node) == node]}
-            for line in day(["node-0", "node-1"])
-        ]  # fmt: skip
+        lines = (
+            day([node])
+            if n == 0
+            else [
+                {**line, "items": [i for i in line["items"] if i.get("node", node) == node]}
+                for line in day(["node-0", "node-1"])
+            ]
+        )
         alone = replies(run(lines))
         assert [r["actions"] for r in alone] == [[a for a in r["actions"] if a["node"] == node] for r in both]
 
 
 def test_names_change_no_decision() -> None:
-    names = {"read": "zz", "pay": "aa", "save": "mm", "a": "tenant-9", "z1": "north", "z2": "east",
-             "k1": "big", "front": "x", "back": "y"}  # fmt: skip
+    names = {
+        "read": "zz",
+        "pay": "aa",
+        "save": "mm",
+        "a": "tenant-9",
+        "z1": "north",
+        "z2": "east",
+        "k1": "big",
+        "front": "x",
+        "back": "y",
+    }
     assert replies(run(day(["node-0"]))) == replies(run(day(["node-0"], names)))
 
 
--- /dev/null
+++ b/workspond/__init__.py
@@ -0,0 +1,1 @@
+"""A load-balancing node for services that call services, with delay-controlled retries."""
--- a/orchidferry/__main__.py
+++ b/workspond/__main__.py
@@ -14,10 +14,10 @@
 
 import uvloop
 
-from orchidferry.config import Address, BadConfig, UnreadableConfig, read_config
-from orchidferry.listener import SHORTAGES
-from orchidferry.log_output import LineWriter, open_standard_descriptors, set_up_logging
-from orchidferry.node import Node
+from workspond.config import Address, BadConfig, UnreadableConfig, read_config
+from workspond.downstream.listener import SHORTAGES
+from workspond.node import Node
+from workspond.observability.log_output import LineWriter, open_standard_descriptors, set_up_logging
 
 SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 LAG_EVERY_S, LAG_S = 1.0, 0.1  # how often the event loop's lag is looked at, and what is worth a line
@@ -26,7 +26,7 @@
 # A node that restarts has to be ready within 6 s on short days.
 LISTEN_EVERY_S, LISTEN_TRIES = 0.2, 21
 
-log = logging.getLogger("orchidferry")
+log = logging.getLogger("workspond")
 
 
 async def run(path: str, writer: LineWriter) -> int:
@@ -34,7 +34,7 @@
     try:
         config = read_config(path)
     except BadConfig as problem:
-        writer.write(f"orchidferry: {problem}")
+        writer.write(f"workspond: {problem}")
         return 2
     set_up_logging(writer, config.name)
     loop = asyncio.get_running_loop()
@@ -46,7 +46,7 @@
     try:
         host, port = await listen(node, config.listen)
     except OSError as problem:
-        writer.write(f"orchidferry: can't listen on {config.listen[0]}:{config.listen[1]}: {problem}")
+        writer.write(f"workspond: can't listen on {config.listen[0]}:{config.listen[1]}: {problem}")
         return 2
     node.start()
     # What was made at the start lives to the end: full collections need not look at it.
@@ -114,7 +114,7 @@
     writer = LineWriter()
     path = os.environ.get("NODE_CONFIG")
     if not path:
-        writer.write("orchidferry: NODE_CONFIG must name the configuration file")
+        writer.write("workspond: NODE_CONFIG must name the configuration file")
         return 2
     return uvloop.run(run(path, writer))
 
--- a/orchidferry/config.py
+++ b/workspond/config.py
@@ -13,8 +13,8 @@
 from collections.abc import Set
 from dataclasses import dataclass
 
-from nickelbridge import interface as api
-from nickelbridge.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from workspond.policy import interface as api
+from workspond.settings_reader import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
 
 Address = tuple[str, int]
 
--- a/orchidferry/listing_reader.py
+++ b/workspond/discovery/endpoint_list_reader.py
@@ -10,9 +10,9 @@
 import re
 from dataclasses import dataclass
 
-from nickelbridge import interface as api
-from nickelbridge.settings import Json, Malformed
-from orchidferry.config import Listing, read_listing
+from workspond.config import Listing, read_listing
+from workspond.policy import interface as api
+from workspond.settings_reader import Json, Malformed
 
 ENDPOINTS = re.compile(r'"endpoints"\s*:\s*\[')
 ENTRY = re.compile(r"\s*(\{[^{}]*\})\s*([,\]])")  # with what follows it
--- a/orchidferry/starts.py
+++ b/workspond/discovery/incarnations.py
@@ -9,7 +9,7 @@
 import time
 from dataclasses import dataclass
 
-from orchidferry.config import Listing, now_ms
+from workspond.config import Listing, now_ms
 
 MOST_REMEMBERED = 4096  # servers that left the list: one that returns unchanged has not started anew
 
--- a/orchidferry/discovery.py
+++ b/workspond/discovery/watcher.py
@@ -12,10 +12,10 @@
 import math
 from collections.abc import Callable
 
-from nickelbridge.settings import Malformed
-from orchidferry.agent_link import CONNECT_S, AgentLink
-from orchidferry.config import Address, Listing, now_ms
-from orchidferry.listing_reader import ListingReader
+from workspond.config import Address, Listing, now_ms
+from workspond.discovery.agent_client import CONNECT_S, AgentLink
+from workspond.discovery.endpoint_list_reader import ListingReader
+from workspond.settings_reader import Malformed
 
 # How long discovery may keep a watch open, and what it gets beyond that. Its silence shows only then. In
 # incident r32b5e5, at 20 s, all nodes sent through a whole release by the list they had started with. A watch
--- /dev/null
+++ b/workspond/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""The clients' side: the listener and the connections that it accepted."""
--- a/orchidferry/caller.py
+++ b/workspond/downstream/client_connection.py
@@ -11,14 +11,14 @@
 from collections import deque
 from typing import Protocol, cast
 
-from nickelbridge import interface as api
-from orchidferry.config import now_ms
-from orchidferry.event_counts import Event, EventCounts
-from orchidferry.reply import Reply, render
-from orchidferry.request import Message, Unacceptable
-from orchidferry.request_parser import Item, Rejection, RequestParser
-from orchidferry.socket_state import unread_since_ms
-from orchidferry.stages import Stage
+from workspond.config import now_ms
+from workspond.downstream.connection_states import Stage
+from workspond.downstream.socket_state import unread_since_ms
+from workspond.http.request import Message, Unacceptable
+from workspond.http.request_parser import Item, Rejection, RequestParser
+from workspond.http.response import Reply, render
+from workspond.observability.counters import Event, EventCounts
+from workspond.policy import interface as api
 
 MOST_QUEUED = 8  # messages read ahead of their turn; the rest waits unread, or read and not parsed
 PARSE_BYTES = 4096  # taken from what has been read at a time, so that few messages go beyond that
--- a/orchidferry/frontend.py
+++ b/workspond/downstream/frontend.py
@@ -6,14 +6,14 @@
 import itertools
 from collections.abc import Callable
 
-from nickelbridge import interface as api
-from orchidferry.caller import CallerConnection, Requester, TakenRequest
-from orchidferry.config import Address
-from orchidferry.event_counts import EventCounts
-from orchidferry.listener import Listener
-from orchidferry.reply import Reply
-from orchidferry.request import Message
-from orchidferry.stages import Stage, StageTable
+from workspond.config import Address
+from workspond.downstream.client_connection import CallerConnection, Requester, TakenRequest
+from workspond.downstream.connection_states import Stage, StageTable
+from workspond.downstream.listener import Listener
+from workspond.http.request import Message
+from workspond.http.response import Reply
+from workspond.observability.counters import EventCounts
+from workspond.policy import interface as api
 
 SWEEP_S = 0.2  # how often stages are looked at; limits are late by so much at most
 MOST_POLLED = 32  # connections asked whether they can go, for each new one
--- a/orchidferry/listener.py
+++ b/workspond/downstream/listener.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Callable
 
-from orchidferry.config import Address
+from workspond.config import Address
 
 BACKLOG = 1024
 ACCEPTED_A_TURN = 16  # fewer than the descriptors kept in hand, as closed ones come back a turn later
@@ -19,7 +19,7 @@
 # Of this process or the machine. All other errors are those of the connection that was to be accepted.
 SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
-log = logging.getLogger("orchidferry")
+log = logging.getLogger("workspond")
 
 
 class Listener:
--- a/orchidferry/request.py
+++ b/workspond/http/request.py
@@ -10,13 +10,22 @@
 from dataclasses import dataclass
 from urllib.parse import unquote
 
-from nickelbridge import interface as api
+from workspond.policy import interface as api
 
 # Each may come once: of two, a server might believe the other one.
-SINGLE = frozenset((
-    b"host", b"content-length", b"transfer-encoding", b"content-type", b"idempotency-key",
-    b"x-call-id", b"x-budget", b"x-caller", b"x-again",
-))  # fmt: skip
+SINGLE = frozenset(
+    (
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"content-type",
+        b"idempotency-key",
+        b"x-call-id",
+        b"x-budget",
+        b"x-caller",
+        b"x-again",
+    )
+)
 TOKEN = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")  # ids and keys: they become parts of a header again
 SECONDS = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # decimals as the protocol writes them; no signs, no 1_0
 
@@ -84,6 +93,15 @@
         raise Unacceptable("X-Budget must be seconds above 0")
     return Message(
         # Nobody waits longer than the class's deadline: a longer budget would hold the books open.
-        method, target, id.decode(), cls.name, min(float(budget) * 1000.0, cls.deadline_ms), tenant,
-        headers.get(b"x-again") == b"1", key, headers.get(b"content-type"), body, came_ms,
-    )  # fmt: skip
+        method,
+        target,
+        id.decode(),
+        cls.name,
+        min(float(budget) * 1000.0, cls.deadline_ms),
+        tenant,
+        headers.get(b"x-again") == b"1",
+        key,
+        headers.get(b"content-type"),
+        body,
+        came_ms,
+    )
--- a/orchidferry/request_parser.py
+++ b/workspond/http/request_parser.py
@@ -11,10 +11,10 @@
 
 import httptools
 
-from nickelbridge import interface as api
-from orchidferry.limits import MAX_BODY, MAX_HEAD
-from orchidferry.reply import Reply
-from orchidferry.request import SINGLE, Message, Unacceptable, check_framing, read_message
+from workspond.http.limits import MAX_BODY, MAX_HEAD
+from workspond.http.request import SINGLE, Message, Unacceptable, check_framing, read_message
+from workspond.http.response import Reply
+from workspond.policy import interface as api
 
 OWN_PATHS = b"/-/"  # the node answers for these itself
 
--- a/orchidferry/node.py
+++ b/workspond/node.py
@@ -13,20 +13,20 @@
 import resource
 from collections import deque
 
-from nickelbridge import interface as api
-from nickelbridge.balancer import Balancer
-from nickelbridge.bucket import Bucket
-from nickelbridge.interface import Result
-from orchidferry.caller import Requester
-from orchidferry.config import Address, Config, Listing, now_ms
-from orchidferry.discovery import Discovery
-from orchidferry.event_counts import Event, EventCounts
-from orchidferry.frontend import Frontend
-from orchidferry.reply import Reply
-from orchidferry.request import Message, Unacceptable
-from orchidferry.send_guard import AttemptLog, Refusal, SendGuard
-from orchidferry.starts import StartTimes
-from orchidferry.upstream import Answer, Attempt, Upstream
+from workspond.config import Address, Config, Listing, now_ms
+from workspond.discovery.incarnations import StartTimes
+from workspond.discovery.watcher import Discovery
+from workspond.downstream.client_connection import Requester
+from workspond.downstream.frontend import Frontend
+from workspond.http.request import Message, Unacceptable
+from workspond.http.response import Reply
+from workspond.observability.counters import Event, EventCounts
+from workspond.policy import interface as api
+from workspond.policy.balancer import Balancer
+from workspond.policy.interface import Result
+from workspond.policy.token_bucket import Bucket
+from workspond.upstream.connection_pool import Answer, Attempt, Upstream
+from workspond.upstream.send_guard import AttemptLog, Refusal, SendGuard
 
 MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
 # A planned end. Connections go on coming for 0.4 s after SIGTERM at least; SIGKILL follows no sooner than
@@ -41,16 +41,24 @@
 PUSHED_RETRY_S = 0.1
 TRACES_PER_S = 20.0  # lines at most on requests that ended badly, so that a jam does not spend CPU on its log
 
-log = logging.getLogger("orchidferry")
+log = logging.getLogger("workspond")
 
 
 class Live:
     """A request that is owed its answer, with its attempts."""
 
     __slots__ = (
-        "_node", "attempts", "came_ms", "deadline_ms", "deadline_timer", "id", "message", "outcomes",
-        "requester", "sent",
-    )  # fmt: skip
+        "_node",
+        "attempts",
+        "came_ms",
+        "deadline_ms",
+        "deadline_timer",
+        "id",
+        "message",
+        "outcomes",
+        "requester",
+        "sent",
+    )
 
     def __init__(
         self, node: Node, id: str, message: Message, requester: Requester, deadline_ms: float
@@ -70,10 +78,13 @@
 def request_bytes(message: Message, address: Address, timeout_ms: float) -> bytes:
     """A request as it goes to a server, in one piece; it is waited for so long from now."""
     parts = [
-        message.method, b" ", message.target, b" HTTP/1.1\r\nHost: ",
+        message.method,
+        b" ",
+        message.target,
+        b" HTTP/1.1\r\nHost: ",
         f"{address[0]}:{address[1]}\r\nX-Call-Id: {message.id}\r\n".encode(),
         f"X-Budget: {timeout_ms / 1000.0:.3f}\r\n".encode(),
-    ]  # fmt: skip
+    ]
     if message.key is not None:
         parts += [b"Idempotency-Key: ", message.key, b"\r\n"]
     if message.content_type is not None:
@@ -114,9 +125,12 @@
         self._discovery = Discovery(loop, config.discovery, self._on_news)
         self._asked = False  # the first call to discovery has ended
         self.frontend = Frontend(
-            self._balancer.classes, self.accept, lambda: bool(self._in_service),
-            int(CALLERS_SHARE * self._descriptors), self.counts,
-        )  # fmt: skip
+            self._balancer.classes,
+            self.accept,
+            lambda: bool(self._in_service),
+            int(CALLERS_SHARE * self._descriptors),
+            self.counts,
+        )
         self._traces = Bucket(TRACES_PER_S, now_ms())
         self._longest_ms = min(LONGEST_MS, max(cls.deadline_ms for cls in settings.classes))
         self._stop_ms = math.inf  # when all must be answered, once the node is to end
@@ -130,8 +144,12 @@
 
     def reconfigure(self, config: Config) -> None:
         """Go on under a new configuration: discovery may be elsewhere; all that is held stays."""
-        if dataclasses.replace(config, discovery=self._config.discovery, known=self._config.known,
-                               seed=self._config.seed) != self._config:  # fmt: skip
+        if (
+            dataclasses.replace(
+                config, discovery=self._config.discovery, known=self._config.known, seed=self._config.seed
+            )
+            != self._config
+        ):
             log.warning("only a new address of discovery is taken without a restart")
         self._config = dataclasses.replace(self._config, discovery=config.discovery)
         self._discovery.move(config.discovery)
@@ -221,10 +239,15 @@
         now, message = now_ms(), live.message
         if self._traces.take(TRACES_PER_S / 1000.0, TRACES_PER_S, now):
             log.info(
-                "request %s %s %s after %.1f of %.1f ms: %s%s", message.id, message.cls, end,
-                now - live.came_ms, message.budget_ms, "; ".join(live.outcomes) or "no attempt ended",
+                "request %s %s %s after %.1f of %.1f ms: %s%s",
+                message.id,
+                message.cls,
+                end,
+                now - live.came_ms,
+                message.budget_ms,
+                "; ".join(live.outcomes) or "no attempt ended",
                 f"; {out} out" if (out := live.attempts - len(live.outcomes)) else "",
-            )  # fmt: skip
+            )
 
     def _overdue(self, live: Live) -> None:
         """Fail a request that the module has not ended by its deadline, whatever the reason."""
--- /dev/null
+++ b/workspond/observability/__init__.py
@@ -0,0 +1,1 @@
+"""What operators see: the log, counters and traces of requests."""
--- a/orchidferry/event_counts.py
+++ b/workspond/observability/counters.py
@@ -12,7 +12,7 @@
 
 REPORT_EVERY_S = 60.0
 
-log = logging.getLogger("orchidferry")
+log = logging.getLogger("workspond")
 
 
 class Event(Enum):
--- a/nickelbridge/admission.py
+++ b/workspond/policy/admission.py
@@ -9,11 +9,11 @@
 import random
 from collections.abc import Callable
 
-from nickelbridge import interface as api
-from nickelbridge.averages import ClassRecord, UsualDelay
-from nickelbridge.call import Call
-from nickelbridge.fleet import Fleet
-from nickelbridge.retry_controller import RetryController
+from workspond.policy import interface as api
+from workspond.policy.averages import ClassRecord, UsualDelay
+from workspond.policy.call import Call
+from workspond.policy.fleet import Fleet
+from workspond.policy.retry_controller import RetryController
 
 WINDOW_SHARE = 0.3  # of the aim: the delay that first sends may reach, by Little's law,
 ADDED = 2.0  # with so many calls a server of this copy's part added, so that copies' windows grow alike
@@ -39,9 +39,14 @@
     """Load shedding and the limit of calls in flight."""
 
     def __init__(
-        self, settings: api.Settings, controller: RetryController, record: ClassRecord, fleet: Fleet,
-        usual: UsualDelay, rng: random.Random,
-    ) -> None:  # fmt: skip
+        self,
+        settings: api.Settings,
+        controller: RetryController,
+        record: ClassRecord,
+        fleet: Fleet,
+        usual: UsualDelay,
+        rng: random.Random,
+    ) -> None:
         self._settings, self._controller, self._record = settings, controller, record
         self._fleet, self._usual, self._rng = fleet, usual, rng
         self._aims_ms = {cls.name: cls.aim_ms for cls in settings.classes}
--- a/nickelbridge/averages.py
+++ b/workspond/policy/averages.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from nickelbridge import interface as api
+from workspond.policy import interface as api
 
 PEER_SAMPLES = 100.0  # answers over which what is usual among all servers is averaged
 
--- a/nickelbridge/balancer.py
+++ b/workspond/policy/balancer.py
@@ -2,7 +2,7 @@
 
 Retries are admitted with the probability that RTDC's PI loop allows (Hong, Huang and Yan, section V.B);
 first sends follow a smooth weighted rotation. docs/design.md says what is kept, changed and why. Each concept
-has a module of its own; this one ties them together. Events and actions are in `nickelbridge.interface`.
+has a module of its own; this one ties them together. Events and actions are in `workspond.policy.interface`.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 import math
 import random
 
-from nickelbridge import interface as api
-from nickelbridge.admission import Admission
-from nickelbridge.averages import PEER_SAMPLES, ClassRecord, UsualDelay
-from nickelbridge.bucket import Bucket
-from nickelbridge.call import Call
-from nickelbridge.fleet import Fleet
-from nickelbridge.idle_connections import IdleLimit
-from nickelbridge.interface import ListKind, Repeat, Result
-from nickelbridge.list_subscription import wait_before_asking_ms
-from nickelbridge.outlier_ejection import OutlierEjection
-from nickelbridge.request_queue import RequestQueue
-from nickelbridge.retry_controller import SAMPLES, RetryController
-from nickelbridge.retry_policy import RetryPolicy
-from nickelbridge.server import Server
-from nickelbridge.server_selection import ServerSelector
-from nickelbridge.slow_start import SlowStart
+from workspond.policy import interface as api
+from workspond.policy.admission import Admission
+from workspond.policy.averages import PEER_SAMPLES, ClassRecord, UsualDelay
+from workspond.policy.call import Call
+from workspond.policy.fleet import Fleet
+from workspond.policy.idle_timeout import IdleLimit
+from workspond.policy.interface import ListKind, Repeat, Result
+from workspond.policy.outlier_ejection import OutlierEjection
+from workspond.policy.request_queue import RequestQueue
+from workspond.policy.retry_controller import SAMPLES, RetryController
+from workspond.policy.retry_policy import RetryPolicy
+from workspond.policy.server import Server
+from workspond.policy.server_selection import ServerSelector
+from workspond.policy.slow_start import SlowStart
+from workspond.policy.subscription_backoff import wait_before_asking_ms
+from workspond.policy.token_bucket import Bucket
 
 QUOTA_MS = 1_000.0  # of its quota is what a tenant may send at once
 GROW_FROM = 1.0  # calls out a server from which a copy doubles its slices of the fleet
--- a/nickelbridge/call.py
+++ b/workspond/policy/call.py
@@ -2,17 +2,30 @@
 
 from __future__ import annotations
 
-from nickelbridge import interface as api
-from nickelbridge.server import Server
+from workspond.policy import interface as api
+from workspond.policy.server import Server
 
 
 class Call:
     """One request, its attempts so far and what it waits for."""
 
     __slots__ = (
-        "arrived_ms", "attempts", "cls", "ends_ms", "first_run_ms", "id", "idle_ms", "last_server", "out",
-        "over_share", "queued", "repeat_group", "sent_ms", "timer_token", "worth_until_ms",
-    )  # fmt: skip
+        "arrived_ms",
+        "attempts",
+        "cls",
+        "ends_ms",
+        "first_run_ms",
+        "id",
+        "idle_ms",
+        "last_server",
+        "out",
+        "over_share",
+        "queued",
+        "repeat_group",
+        "sent_ms",
+        "timer_token",
+        "worth_until_ms",
+    )
 
     def __init__(self, event: api.Request, cls: api.RequestClass, now: float) -> None:
         self.id, self.cls = event.id, cls
--- a/nickelbridge/server_group.py
+++ b/workspond/policy/deduplication_groups.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Hashable
 
-from nickelbridge.server import Server
+from workspond.policy.server import Server
 
 
 class ServerGroup:
--- a/nickelbridge/fleet.py
+++ b/workspond/policy/fleet.py
@@ -6,13 +6,13 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-from nickelbridge import interface as api
-from nickelbridge.bucket import Bucket
-from nickelbridge.call import Call
-from nickelbridge.interface import Group, Health, ListKind
-from nickelbridge.server import Server
-from nickelbridge.server_group import GroupIndex
-from nickelbridge.subset import Subset
+from workspond.policy import interface as api
+from workspond.policy.call import Call
+from workspond.policy.deduplication_groups import GroupIndex
+from workspond.policy.interface import Group, Health, ListKind
+from workspond.policy.server import Server
+from workspond.policy.subset import Subset
+from workspond.policy.token_bucket import Bucket
 
 SLICES = 4  # of the fleet, each cut evenly among all copies: few servers, so that a copy sees each often
 
--- a/nickelbridge/idle_connections.py
+++ b/workspond/policy/idle_timeout.py
@@ -4,7 +4,7 @@
 
 import math
 
-from nickelbridge.interface import Result
+from workspond.policy.interface import Result
 
 IDLE_CUT, IDLE_GROWTH = 0.5, 1.03  # of the idle time trusted: after a loss on such a connection, an answer
 IDLE_LEAST = 0.05  # of the stated idle limit: a connection in use more lately was not dropped for idling
--- a/nickelbridge/interface.py
+++ b/workspond/policy/interface.py
@@ -1,7 +1,7 @@
 """What a node and the decision module say to each other: settings, events and actions.
 
 Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and
-come back unchanged. Nothing here decides anything; `nickelbridge.balancer` ties the decisions together.
+come back unchanged. Nothing here decides anything; `workspond.policy.balancer` ties the decisions together.
 """
 
 from __future__ import annotations
--- a/nickelbridge/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -5,9 +5,9 @@
 import math
 import random
 
-from nickelbridge.averages import PEER_SAMPLES
-from nickelbridge.interface import Result
-from nickelbridge.server import Server
+from workspond.policy.averages import PEER_SAMPLES
+from workspond.policy.interface import Result
+from workspond.policy.server import Server
 
 EJECT_MS, EJECT_DOUBLINGS = 1_000.0, 5  # the first time out; how often it doubles
 EJECT_SHARE = 0.5  # of the servers may be out at once for errors
--- a/nickelbridge/request_queue.py
+++ b/workspond/policy/request_queue.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from nickelbridge.call import Call
+from workspond.policy.call import Call
 
 HOLD_SHARES = (0.08, 0.5)  # of its aim: how long a call may wait for room; deeper, giving up wastes more
 
--- a/nickelbridge/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -8,7 +8,7 @@
 
 import math
 
-from nickelbridge.averages import Rate
+from workspond.policy.averages import Rate
 
 TARGET_SHARE = 0.4  # tau0, the target round trip delay, as a share of the aim of what was answered
 SHED_MOST = 0.8  # of first sends may be shed for delay: the rest keeps the measurement going
--- a/nickelbridge/retry_policy.py
+++ b/workspond/policy/retry_policy.py
@@ -9,10 +9,10 @@
 import math
 import random
 
-from nickelbridge import interface as api
-from nickelbridge.averages import SlidingCount
-from nickelbridge.call import Call
-from nickelbridge.interface import Repeat, Result
+from workspond.policy import interface as api
+from workspond.policy.averages import SlidingCount
+from workspond.policy.call import Call
+from workspond.policy.interface import Repeat, Result
 
 RETRY_WAIT_MS, RETRY_WAIT_SHARE = 500.0, 0.05  # T1, or less by aim
 TIMEOUT_SHARE = 0.95  # of the time left, for an attempt that another may follow
--- a/nickelbridge/server.py
+++ b/workspond/policy/server.py
@@ -6,12 +6,12 @@
 import random
 from typing import TYPE_CHECKING
 
-from nickelbridge import interface as api
-from nickelbridge.bucket import Bucket
-from nickelbridge.interface import Group, Health
+from workspond.policy import interface as api
+from workspond.policy.interface import Group, Health
+from workspond.policy.token_bucket import Bucket
 
 if TYPE_CHECKING:
-    from nickelbridge.rotation import Place
+    from workspond.policy.weighted_round_robin import Place
 
 SLOW_FROM = 1.5  # times its peers' delay, from which a server counts as slow,
 SLOW_POWER = 4.0  # and how steeply its weight falls then, so that it gets rest
@@ -30,11 +30,34 @@
     """One server of the list."""
 
     __slots__ = (
-        "budget", "budget_per_ms", "calls", "cell", "counted_weight", "credit", "due_ms", "ejected",
-        "ejected_until_ms", "ejections", "error_log_odds", "id", "in_service", "inflight_limit",
-        "latest_served_ms", "lost", "part", "place", "queue", "report_ms", "share", "slow_ms", "slowness",
-        "started_ms", "used_ms", "weight", "zone",
-    )  # fmt: skip
+        "budget",
+        "budget_per_ms",
+        "calls",
+        "cell",
+        "counted_weight",
+        "credit",
+        "due_ms",
+        "ejected",
+        "ejected_until_ms",
+        "ejections",
+        "error_log_odds",
+        "id",
+        "in_service",
+        "inflight_limit",
+        "latest_served_ms",
+        "lost",
+        "part",
+        "place",
+        "queue",
+        "report_ms",
+        "share",
+        "slow_ms",
+        "slowness",
+        "started_ms",
+        "used_ms",
+        "weight",
+        "zone",
+    )
 
     def __init__(self, entry: api.ServerEntry, now: float, rng: random.Random) -> None:
         self.id = entry.server
--- a/nickelbridge/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -13,12 +13,12 @@
 import random
 from dataclasses import dataclass
 
-from nickelbridge.averages import UsualDelay
-from nickelbridge.call import Call
-from nickelbridge.fleet import Fleet, FleetChange
-from nickelbridge.rotation import Rotation
-from nickelbridge.server import Server
-from nickelbridge.slow_start import SlowStart
+from workspond.policy.averages import UsualDelay
+from workspond.policy.call import Call
+from workspond.policy.fleet import Fleet, FleetChange
+from workspond.policy.server import Server
+from workspond.policy.slow_start import SlowStart
+from workspond.policy.weighted_round_robin import Rotation
 
 MOST_DUE = 8  # servers that one event looks at because their time has come
 GROUP_DRAWN = 32  # servers that are compared for a request that may have run, of those that drop a repeat
--- a/nickelbridge/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -7,10 +7,10 @@
 
 import math
 
-from nickelbridge import interface as api
-from nickelbridge.averages import Mean
-from nickelbridge.retry_controller import RATE_WINDOW_MS, RetryController
-from nickelbridge.server import WEIGHT_STEP, Server
+from workspond.policy import interface as api
+from workspond.policy.averages import Mean
+from workspond.policy.retry_controller import RATE_WINDOW_MS, RetryController
+from workspond.policy.server import WEIGHT_STEP, Server
 
 COLD_SHARE = 0.5  # of the stated cold budget that all copies together use
 BUDGET_CHECK_SHARE = 0.7  # of the wait for a budget that is used up: after it there is another look,
--- a/nickelbridge/list_subscription.py
+++ b/workspond/policy/subscription_backoff.py
@@ -6,7 +6,7 @@
 
 ASK_SHARE, ASK_MOST_MS = 0.1, 300.0  # of the asking interval: the mean wait, and its most
 ASK_JITTER = 0.5  # by what share of it a wait is shorter or longer
-ASK_LONGEST_MS = (1.0 + ASK_JITTER) * ASK_MOST_MS  # orchidferry/discovery.py counts on it
+ASK_LONGEST_MS = (1.0 + ASK_JITTER) * ASK_MOST_MS  # workspond/discovery/watcher.py counts on it
 
 
 def wait_before_asking_ms(ask_every_ms: float, rng: random.Random) -> float:
--- a/nickelbridge/rotation.py
+++ b/workspond/policy/weighted_round_robin.py
@@ -14,7 +14,7 @@
 import itertools
 import math
 
-from nickelbridge.server import Server
+from workspond.policy.server import Server
 
 STEPS_PER_DOUBLING = 8  # of gains: one differs from the weight by 4.5% at most
 DOMINANT = 0.5  # a weight of such a part of a sum is not subtracted: what is left would be rounding errors
--- a/nickelbridge/settings.py
+++ b/workspond/settings_reader.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any, TypeVar
 
-from nickelbridge import interface as api
+from workspond.policy import interface as api
 
 Json = dict[str, Any]
 
--- a/nickelbridge/wirehost.py
+++ b/workspond/simulator_adapter.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from nickelbridge import interface as api
-from nickelbridge.balancer import Balancer
-from nickelbridge.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from workspond.policy import interface as api
+from workspond.policy.balancer import Balancer
+from workspond.settings_reader import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
 
 HEALTH = {
     "in_service": api.Health.IN_SERVICE,
@@ -101,15 +101,24 @@
 def _write(node: str, action: api.Action) -> Json:
     match action:
         case api.Send():
-            return {"kind": "SubmitTo", "node": node, "request_id": action.id, "server": action.server,
-                    "within_ms": action.timeout_ms}  # fmt: skip
+            return {
+                "kind": "SubmitTo",
+                "node": node,
+                "request_id": action.id,
+                "server": action.server,
+                "within_ms": action.timeout_ms,
+            }
         case api.SetTimer():
             return {"kind": "WakeAt", "node": node, "nonce": action.token, "span_ms": action.delay_ms}
         case api.Fail():
             return {"kind": "RespondError", "node": node, "request_id": action.id}
         case api.Refuse():
-            return {"kind": "Deny", "node": node, "request_id": action.id,
-                    "stay_away_ms": action.retry_after_ms}  # fmt: skip
+            return {
+                "kind": "Deny",
+                "node": node,
+                "request_id": action.id,
+                "stay_away_ms": action.retry_after_ms,
+            }
         case api.Cancel():
             return {"kind": "StopAttempt", "node": node, "request_id": action.id, "send_no": action.attempt}
         case api.CloseIdle():
@@ -196,7 +205,7 @@
                 raise Malformed(f"a batch must be an object, not {message!r:.60}")
             reply = host.batch(message)
         except Malformed as problem:
-            print(f"nickelbridge: input line {number}: {problem}", file=errors)
+            print(f"workspond: input line {number}: {problem}", file=errors)
             return 2
         number += 1
         sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
--- a/orchidferry/upstream.py
+++ b/workspond/upstream/connection_pool.py
@@ -17,9 +17,9 @@
 
 import httptools
 
-from nickelbridge.interface import Result
-from orchidferry.config import Address, now_ms
-from orchidferry.limits import MAX_BODY, MAX_HEAD
+from workspond.config import Address, now_ms
+from workspond.http.limits import MAX_BODY, MAX_HEAD
+from workspond.policy.interface import Result
 
 MOST_REPORTED = 1e6  # of any figure in a load report
 IDLE_SHARE = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
@@ -31,7 +31,7 @@
 TURN_S = 0.001  # a timer's least, after which the loop has read what had come before
 SWEEP_S = 1.0  # how often connections that have idled too long are looked for
 
-log = logging.getLogger("orchidferry")
+log = logging.getLogger("workspond")
 
 
 @dataclass(slots=True)
@@ -51,8 +51,16 @@
     """One copy of a request on its way to one server; reports its outcome exactly once."""
 
     __slots__ = (
-        "_cancel_io", "_ended", "_timer", "may_send", "over", "overtime", "render", "unread", "written",
-    )  # fmt: skip
+        "_cancel_io",
+        "_ended",
+        "_timer",
+        "may_send",
+        "over",
+        "overtime",
+        "render",
+        "unread",
+        "written",
+    )
 
     def __init__(self, render: Callable[[], bytes], may_send: Callable[[], bool], ended: Ended) -> None:
         self.render, self.may_send, self._ended = render, may_send, ended
--- a/orchidferry/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -11,11 +11,11 @@
 from collections.abc import Mapping, Set
 from enum import Enum
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Repeat, Result
-from orchidferry.config import Address, now_ms
+from workspond.config import Address, now_ms
+from workspond.policy import interface as api
+from workspond.policy.interface import Repeat, Result
 
-log = logging.getLogger("orchidferry")
+log = logging.getLogger("workspond")
 
 
 class Refusal(Enum):
