--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -14,6 +14,7 @@
 from dataclasses import dataclass
 from enum import Enum
 from pathlib import Path
+from types import SimpleNamespace
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
@@ -65,11 +66,11 @@
         """Load it; this process must not have loaded another."""
         if root != ROOT:
             sys.path.insert(0, str(root))
-        self.api: Any = importlib.import_module("workspond.policy.interface")
-        try:
-            module = importlib.import_module("workspond.policy.balancer")
-        except ModuleNotFoundError:  # in versions that had all decisions in one file
-            module = importlib.import_module("workspond.policy.logic")
+        names: dict[str, Any] = {}
+        for part in ("settings", "endpoint", "events", "actions"):
+            names |= vars(importlib.import_module(f"workspond.policy.{part}"))
+        self.api: Any = SimpleNamespace(**names)
+        module = importlib.import_module("workspond.policy.balancer")
         self.balancer: Any = module.Balancer
 
 
@@ -79,7 +80,7 @@
     def __init__(self, program: Program, case: Case) -> None:
         api = program.api
         self._api, self._case, self._rng = api, case, random.Random(case.seed)
-        classes = [api.RequestClass("read", AIM_MS, DEADLINE_MS, repeat=api.Repeat.SAFE)]
+        classes = [api.RequestClass("read", AIM_MS, DEADLINE_MS, repeat=api.Idempotency.SAFE)]
         settings = api.Settings(
             classes=classes,
             nodes=case.copies,
@@ -96,21 +97,21 @@
         self._attempts: dict[str, int] = {}
         self._spent_ns = {"request": 0, "outcome": 0}
         self._count = {"request": 0, "outcome": 0}
-        self._balancer.handle(api.Started(), self._now)
-        self._balancer.handle(self._list(api.ListKind.FULL, range(case.servers)), self._now)
+        self._balancer.handle(api.NodeStarted(), self._now)
+        self._balancer.handle(self._list(api.UpdateKind.FULL, range(case.servers)), self._now)
 
     def _list(self, kind: Any, numbers: Any) -> Any:
-        return self._api.ServerList(kind, 1, [self._entry(number) for number in numbers])
+        return self._api.EndpointUpdate(kind, 1, [self._entry(number) for number in numbers])
 
     def _entry(self, number: int) -> Any:
-        state, health = self._case.state, self._api.Health
+        state, health = self._case.state, self._api.EndpointState
         draining = state is State.DRAINING and number % 2
         share = 0.5 + (number * 37 % 101) / 101.0 if state is State.WEIGHTED else 1.0
         started_ms = 900.0 if state is State.HALF_COLD and number % 2 else None
         # Ids are spread as hashes of names are.
         id = number * 0x9E3779B97F4A7C15 % 2**64
         current = health.DRAINING if draining else health.IN_SERVICE
-        return self._api.ServerEntry(id, f"z{number % 5}", "k", number % 7, current, share, started_ms)
+        return self._api.Endpoint(id, f"z{number % 5}", "k", number % 7, current, share, started_ms)
 
     def cost(self) -> Cost:
         """Play the case: half as many calls again, untimed, come first."""
@@ -121,16 +122,16 @@
                 self._spent_ns, self._count = dict.fromkeys(self._spent_ns, 0), dict.fromkeys(self._count, 0)
             self._advance(self._now + 1000.0 / RATE_PER_S, zones)
             self._calls += 1
-            self._handle("request", self._api.Request(f"r{self._calls}", "read", DEADLINE_MS), zones)
-        change = self._time_lists(self._api.ListKind.CHANGES, CHANGES)
-        whole = self._time_lists(self._api.ListKind.FULL, WHOLE_LISTS)
+            self._handle("request", self._api.RequestReceived(f"r{self._calls}", "read", DEADLINE_MS), zones)
+        change = self._time_lists(self._api.UpdateKind.CHANGES, CHANGES)
+        whole = self._time_lists(self._api.UpdateKind.FULL, WHOLE_LISTS)
         per = {what: self._spent_ns[what] / max(1, self._count[what]) / NS_PER_US for what in self._count}
         return Cost(per["request"], per["outcome"], change, whole)
 
     def _time_lists(self, kind: Any, count: int) -> float:
         spent_ns = 0
         for number in range(count):
-            whole = kind is self._api.ListKind.FULL
+            whole = kind is self._api.UpdateKind.FULL
             news = self._list(kind, range(self._case.servers) if whole else [number % self._case.servers])
             began_ns = time.process_time_ns()
             self._balancer.handle(news, self._now)
@@ -152,13 +153,13 @@
             self._spent_ns[what] += took_ns
             self._count[what] += 1
         for action in actions:
-            if isinstance(action, self._api.Send):
+            if isinstance(action, self._api.SendAttempt):
                 self._begin(action, zones[action.server])
             elif isinstance(action, self._api.SetTimer):
                 self._push(action.delay_ms, self._api.TimerFired(action.token))
 
     def _begin(self, send: Any, number: int) -> None:
-        result = self._api.Result
+        result = self._api.Outcome
         outcome, after_ms = result.SERVED, ANSWER_MS
         if self._case.state is State.EJECTED and number % 3 == 0:
             outcome, after_ms = result.UNREACHABLE, 0.1
--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -69,7 +69,13 @@
         "drains are ignored",
         Rule.DRAIN,
         (FaultKind.SERVER_DRAIN,),
-        (Patch("workspond/config.py", '"leaving": api.Health.DRAINING', '"leaving": api.Health.IN_SERVICE'),),
+        (
+            Patch(
+                "workspond/config.py",
+                '"leaving": EndpointState.DRAINING',
+                '"leaving": EndpointState.IN_SERVICE',
+            ),
+        ),
     ),
     BrokenNode(
         "an unsafe request is sent again",
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -8,8 +8,18 @@
 
 from dataclasses import dataclass, field
 
-from workspond.policy import interface as api
-from workspond.policy.interface import Group, Health, ListKind, Repeat, Result
+from workspond.policy.actions import FailRequest, PolicyAction, RejectRequest, SendAttempt
+from workspond.policy.endpoint import Endpoint, EndpointState
+from workspond.policy.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    Outcome,
+    PolicyEvent,
+    RequestAbandoned,
+    RequestReceived,
+    UpdateKind,
+)
+from workspond.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 
 class Broken(AssertionError):
@@ -21,12 +31,12 @@
     at: float
     server: int
     group: str | int | None
-    result: Result | None = None
+    result: Outcome | None = None
 
 
 @dataclass
 class Taken:
-    cls: api.RequestClass
+    cls: RequestClass
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
     over: bool = False
@@ -35,68 +45,72 @@
 class Checker:
     """Told every event before the node, and every action after; raises `Broken`."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
         self.taken: dict[str, Taken] = {}
         self.taken_at: list[float] = []
         self.further_at: list[float] = []
-        self.known: dict[int, api.ServerEntry] = {}
+        self.known: dict[int, Endpoint] = {}
         self.out_of_service: dict[int, float] = {}  # since when the node knows
 
-    def event(self, event: api.Event, now: float) -> None:
-        if isinstance(event, api.Request):
+    def event(self, event: PolicyEvent, now: float) -> None:
+        if isinstance(event, RequestReceived):
             self.taken[event.id] = Taken(self.classes[event.cls], now + event.ttl_ms)
             self.taken_at.append(now)
-        elif isinstance(event, api.AttemptEnded) and event.id in self.taken:
+        elif isinstance(event, AttemptEnded) and event.id in self.taken:
             request = self.taken[event.id]
             request.attempts[event.attempt].result = event.result
             request.over = request.over or event.settled
-        elif isinstance(event, api.ClientGone) and event.id in self.taken:
+        elif isinstance(event, RequestAbandoned) and event.id in self.taken:
             self.taken[event.id].over = True
-        elif isinstance(event, api.ServerList) and event.kind is not ListKind.FAILED:
+        elif isinstance(event, EndpointUpdate) and event.kind is not UpdateKind.FAILED:
             listed = {entry.server: entry for entry in event.entries}
             for number in self.known:
-                if event.kind is not ListKind.CHANGES and number not in listed:
+                if event.kind is not UpdateKind.CHANGES and number not in listed:
                     self.out_of_service.setdefault(number, now)
             for number, entry in listed.items():
                 self.known[number] = entry
-                if entry.health is Health.IN_SERVICE:
+                if entry.health is EndpointState.IN_SERVICE:
                     self.out_of_service.pop(number, None)
                 else:
                     self.out_of_service.setdefault(number, now)
 
-    def action(self, action: api.Action, now: float) -> None:
-        if isinstance(action, api.Send):
+    def action(self, action: PolicyAction, now: float) -> None:
+        if isinstance(action, SendAttempt):
             self._send(action, now)
-        elif isinstance(action, api.Fail | api.Refuse):
+        elif isinstance(action, FailRequest | RejectRequest):
             request = self.taken[action.id]
             self._need(not request.over, "rule 1: a second final answer")
             late = now > request.deadline + self.settings.answer_slack_ms
             self._need(not late, "rule 1: an answer after the deadline")
             request.over = True
-            if isinstance(action, api.Refuse):
+            if isinstance(action, RejectRequest):
                 cls = request.cls
-                everywhere = cls.repeat is Repeat.KEYED and cls.group is Group.ALL
-                harmless = cls.repeat is Repeat.SAFE or everywhere or not self._may_have_run(request)
+                everywhere = cls.repeat is Idempotency.KEYED and cls.group is DeduplicationScope.ALL
+                harmless = cls.repeat is Idempotency.SAFE or everywhere or not self._may_have_run(request)
                 self._need(harmless, "rule 2: a refusal of what may have run")
 
     def end(self) -> None:
         """All that was taken has been answered."""
         self._need(all(request.over for request in self.taken.values()), "rule 1: a request was lost")
 
-    def _send(self, send: api.Send, now: float) -> None:
+    def _send(self, send: SendAttempt, now: float) -> None:
         request, server = self.taken[send.id], self.known[send.server]
         cls = request.cls
         self._need(not request.over, "rule 1: a send for what is over")
         self._need(len(request.attempts) < self.settings.max_attempts, "more attempts than allowed")
         out = [attempt for attempt in request.attempts if attempt.result is None]
         self._need(not out or self.settings.parallel_attempts, "two attempts at once")
-        group = {Group.ALL: None, Group.ZONE: server.zone, Group.CELL: server.cell}[cls.group]
+        group = {
+            DeduplicationScope.ALL: None,
+            DeduplicationScope.ZONE: server.zone,
+            DeduplicationScope.CELL: server.cell,
+        }[cls.group]
         ran = self._may_have_run(request)
         if ran:
-            self._need(cls.repeat is not Repeat.UNSAFE, "rule 2: an unsafe request sent again")
-        if ran and cls.repeat is Repeat.KEYED:
+            self._need(cls.repeat is not Idempotency.UNSAFE, "rule 2: an unsafe request sent again")
+        if ran and cls.repeat is Idempotency.KEYED:
             self._need(all(attempt.group == group for attempt in ran), "rule 2: another group")
             self._need(now - ran[0].at <= cls.window_ms, "rule 2: after the window")
         since = self.out_of_service.get(send.server, now)
@@ -111,9 +125,9 @@
         request.attempts.append(Attempt(now, send.server, group))
 
     def _may_have_run(self, request: Taken) -> list[Attempt]:
-        proofs = {Result.UNREACHABLE, Result.MOOT}
+        proofs = {Outcome.UNREACHABLE, Outcome.MOOT}
         if not self.settings.full_may_have_run:
-            proofs.add(Result.REFUSED)  # rule 6
+            proofs.add(Outcome.REFUSED)  # rule 6
         return [attempt for attempt in request.attempts if attempt.result not in proofs]
 
     @staticmethod
--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -15,9 +15,20 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from workspond.policy import interface as api
+from workspond.policy.actions import SendAttempt, SetTimer
 from workspond.policy.balancer import Balancer
-from workspond.policy.interface import Result
+from workspond.policy.endpoint import Endpoint
+from workspond.policy.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    NodeStarted,
+    Outcome,
+    PolicyEvent,
+    RequestReceived,
+    TimerFired,
+    UpdateKind,
+)
+from workspond.policy.settings import Idempotency, RequestClass, Settings
 
 START, RAMP_MS, FACTOR, SPAN_MS = 0.2, 10_000.0, 2.5, 1_500.0
 HOP_MS = 1.0  # each way
@@ -27,13 +38,13 @@
 class Work:
     """A class of requests: its share of all, and how long a warm server works on one."""
 
-    cls: api.RequestClass
+    cls: RequestClass
     share: float
     work_ms: float
 
 
-def request_class(name: str) -> api.RequestClass:
-    return api.RequestClass(name, 400.0, 1200.0, repeat=api.Repeat.SAFE)
+def request_class(name: str) -> RequestClass:
+    return RequestClass(name, 400.0, 1200.0, repeat=Idempotency.SAFE)
 
 
 USUAL = (Work(request_class("usual"), 1.0, 20.0),)
@@ -102,7 +113,7 @@
         heapq.heappush(self._due, (when, self._order, what))
 
     def _start(self, number: int) -> Balancer:
-        settings = api.Settings(
+        settings = Settings(
             classes=[work.cls for work in self.day.classes],
             nodes=self.copies,
             number=number,
@@ -116,18 +127,18 @@
             tick_ms=1.0,
         )
         node = Balancer(settings, self._rng.getrandbits(32))
-        self._do(number, node, api.Started())
+        self._do(number, node, NodeStarted())
         self._do(number, node, self._list(self._told[number]))
         return node
 
-    def _list(self, told: bool) -> api.ServerList:
-        def entry(id: int, machine: Machine) -> api.ServerEntry:
+    def _list(self, told: bool) -> EndpointUpdate:
+        def entry(id: int, machine: Machine) -> Endpoint:
             started = machine.started_ms if told and machine.started_ms > -math.inf else None
-            return api.ServerEntry(id, "z", "k", id % 2, started_ms=started)
+            return Endpoint(id, "z", "k", id % 2, started_ms=started)
 
         old = self.day.again or not self.day.warm
         listed = {id: m for id, m in self._machines.items() if told or old or id < self.day.warm}
-        return api.ServerList(api.ListKind.FULL, 1, [entry(id, m) for id, m in listed.items()])
+        return EndpointUpdate(UpdateKind.FULL, 1, [entry(id, m) for id, m in listed.items()])
 
     def _cold_start(self) -> None:
         for n in range(self.day.cold):
@@ -156,17 +167,17 @@
         number, self._ids = self._rng.randrange(self.copies), self._ids + 1
         id, node = str(self._ids), self._nodes[number]
         self._sent[number, id] = 0, work.work_ms * self._rng.uniform(0.7, 1.3)
-        self._do(number, node, api.Request(id, work.cls.name, work.cls.deadline_ms))
+        self._do(number, node, RequestReceived(id, work.cls.name, work.cls.deadline_ms))
 
-    def _do(self, number: int, node: Balancer, event: api.Event) -> None:
+    def _do(self, number: int, node: Balancer, event: PolicyEvent) -> None:
         for action in node.handle(event, self._now):
-            if isinstance(action, api.Send):
+            if isinstance(action, SendAttempt):
                 self._send(number, node, action)
-            elif isinstance(action, api.SetTimer):
-                fired = api.TimerFired(action.token)
+            elif isinstance(action, SetTimer):
+                fired = TimerFired(action.token)
                 self._at(self._now + action.delay_ms, partial(self._do, number, node, fired))
 
-    def _send(self, number: int, node: Balancer, send: api.Send) -> None:
+    def _send(self, number: int, node: Balancer, send: SendAttempt) -> None:
         attempt, work_ms = self._sent[number, send.id]
         self._sent[number, send.id] = attempt + 1, work_ms
         machine, sent_ms = self._machines[send.server], self._now
@@ -175,13 +186,13 @@
             machine.got.append((self._now, work_ms / self._mean_ms))
         begins = max(self._now + HOP_MS, machine.free_ms)
         machine.free_ms = begins + work_ms / machine.warmth(begins)
-        result, ends = Result.SERVED, machine.free_ms + HOP_MS
+        result, ends = Outcome.SERVED, machine.free_ms + HOP_MS
         if ends > self._now + send.timeout_ms:
-            result, ends = Result.TIMEOUT, self._now + send.timeout_ms
+            result, ends = Outcome.TIMEOUT, self._now + send.timeout_ms
 
         def ended() -> None:
-            settled = result is Result.SERVED
-            event = api.AttemptEnded(send.id, attempt, send.server, result, ends - sent_ms, settled)
+            settled = result is Outcome.SERVED
+            event = AttemptEnded(send.id, attempt, send.server, result, ends - sent_ms, settled)
             self._do(number, node, event)
 
         self._at(ends, ended)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -7,12 +7,31 @@
 import pytest
 
 from tests.helpers import Node, ends, entries, sends, timers
-from workspond.policy import interface as api
+from workspond.policy.actions import (
+    CloseIdleConnections,
+    FailRequest,
+    PolicyAction,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    Subscribe,
+)
 from workspond.policy.admission import START
 from workspond.policy.balancer import Balancer
+from workspond.policy.endpoint import Endpoint, EndpointState
+from workspond.policy.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    Outcome,
+    RequestAbandoned,
+    RequestReceived,
+    StreamStarted,
+    TimerFired,
+    UpdateKind,
+)
 from workspond.policy.fleet import SLICES
-from workspond.policy.interface import Result
 from workspond.policy.retry_policy import RETRY_WAIT_MS, RETRY_WAIT_SHARE
+from workspond.policy.settings import Idempotency, RequestClass, Settings, Tenant
 from workspond.policy.subscription_backoff import ASK_LONGEST_MS
 
 
@@ -24,7 +43,7 @@
 
 def test_first_sends_follow_weights() -> None:
     node = Node(servers=0)
-    node.list_all([api.ServerEntry(1, share=3.0), api.ServerEntry(2, share=1.0)])
+    node.list_all([Endpoint(1, share=3.0), Endpoint(2, share=1.0)])
     picked = node.serve(40)
     assert picked.count(1) == pytest.approx(30, abs=1)
 
@@ -32,9 +51,9 @@
 def test_a_failed_attempt_waits_then_goes_elsewhere() -> None:
     node = Node()
     node.ask("a")
-    [timer] = timers(node.end("a", Result.ERROR))
+    [timer] = timers(node.end("a", Outcome.ERROR))
     assert timer.delay_ms > 0
-    [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
+    [send] = sends(node.do(TimerFired(timer.token), timer.delay_ms))
     assert send.server != node.sent["a"][0]
 
 
@@ -44,9 +63,9 @@
     for salt in range(200):
         node = Node(salt=salt)
         node.ask("a", ttl_ms=30_000.0)
-        [first] = timers(node.end("a", Result.ERROR))
-        node.do(api.TimerFired(first.token), first.delay_ms)
-        [second] = timers(node.end("a", Result.ERROR))
+        [first] = timers(node.end("a", Outcome.ERROR))
+        node.do(TimerFired(first.token), first.delay_ms)
+        [second] = timers(node.end("a", Outcome.ERROR))
         firsts.append(first.delay_ms)
         seconds.append(second.delay_ms)
     assert sum(seconds) == pytest.approx(2.0 * sum(firsts), rel=0.1)
@@ -56,8 +75,8 @@
 def test_rule_1_the_deadlines_own_time_out_is_answered() -> None:
     node = Node()
     node.ask("a", "unsafe", 800.0)
-    assert len(ends(node.end("a", Result.TIMEOUT, 800.0))) == 1
-    assert node.do(api.ClientGone("a")) == []
+    assert len(ends(node.end("a", Outcome.TIMEOUT, 800.0))) == 1
+    assert node.do(RequestAbandoned("a")) == []
 
 
 def test_rule_1_without_servers_a_request_still_ends_in_time() -> None:
@@ -66,52 +85,52 @@
     start = node.now
     while not ends(actions):
         [timer] = timers(actions)
-        actions = node.do(api.TimerFired(timer.token), timer.delay_ms)
-    assert isinstance(ends(actions)[0], api.Refuse)
+        actions = node.do(TimerFired(timer.token), timer.delay_ms)
+    assert isinstance(ends(actions)[0], RejectRequest)
     assert node.now - start < 900.0
 
 
 def test_rule_1_nothing_is_sent_after_the_client_has_gone() -> None:
     node = Node()
     node.ask("a")
-    [timer] = timers(node.end("a", Result.ERROR))
-    node.do(api.ClientGone("a"))
-    assert node.do(api.TimerFired(timer.token), timer.delay_ms) == []
+    [timer] = timers(node.end("a", Outcome.ERROR))
+    node.do(RequestAbandoned("a"))
+    assert node.do(TimerFired(timer.token), timer.delay_ms) == []
 
 
 def test_rule_2_unsafe_is_not_repeated_once_it_may_have_run() -> None:
-    for result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
+    for result in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
         node = Node()
         node.ask("a", "unsafe")
-        assert ends(node.end("a", result)) == [api.Fail("a")]
+        assert ends(node.end("a", result)) == [FailRequest("a")]
 
 
 def test_rule_2_unsafe_is_repeated_when_it_never_ran() -> None:
     node = Node()
     node.ask("a", "unsafe")
-    [timer] = timers(node.end("a", Result.REFUSED))
-    assert sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
+    [timer] = timers(node.end("a", Outcome.REFUSED))
+    assert sends(node.do(TimerFired(timer.token), timer.delay_ms))
 
 
 def test_rule_2_keyed_stays_in_its_group() -> None:
     for salt in range(20):
         node = Node(servers=8, salt=salt)
         node.ask("a", "keyed")
-        [timer] = timers(node.end("a", Result.ERROR))
-        [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
+        [timer] = timers(node.end("a", Outcome.ERROR))
+        [send] = sends(node.do(TimerFired(timer.token), timer.delay_ms))
         assert send.server % 2 == node.sent["a"][0] % 2
 
 
 def test_rule_2_keyed_is_not_sent_after_its_window() -> None:
     node = Node()
     node.ask("a", "keyed", ttl_ms=3000.0)
-    actions = node.end("a", Result.TIMEOUT, 1990.0)
-    assert ends(actions) == [api.Fail("a")] and not timers(actions)
+    actions = node.end("a", Outcome.TIMEOUT, 1990.0)
+    assert ends(actions) == [FailRequest("a")] and not timers(actions)
 
 
 def test_rule_3_a_draining_server_gets_nothing() -> None:
     node = Node(servers=2)
-    node.change(api.ServerEntry(0, health=api.Health.DRAINING))
+    node.change(Endpoint(0, health=EndpointState.DRAINING))
     assert set(node.serve(10)) == {1}
 
 
@@ -123,7 +142,7 @@
 
 def test_rule_3_changes_leave_the_rest_of_the_list() -> None:
     node = Node(servers=2)
-    node.change(api.ServerEntry(7))
+    node.change(Endpoint(7))
     assert set(node.serve(30)) == {0, 1, 7}
 
 
@@ -131,13 +150,13 @@
     delays = set()
     for salt in range(5):
         node = Node(salt=salt, follow_list=True)
-        assert api.Subscribe() in [a for _, a in node.log]
-        [timer] = timers(node.do(api.ServerList(api.ListKind.FAILED)))
+        assert Subscribe() in [a for _, a in node.log]
+        [timer] = timers(node.do(EndpointUpdate(UpdateKind.FAILED)))
         delays.add(timer.delay_ms)
-        assert node.do(api.TimerFired(timer.token), timer.delay_ms) == [api.Subscribe()]
+        assert node.do(TimerFired(timer.token), timer.delay_ms) == [Subscribe()]
         assert timer.delay_ms < node.balancer.settings.ask_every_ms / 4
         seldom = Node(salt=salt, follow_list=True, ask_every_ms=60_000.0)
-        [timer] = timers(seldom.do(api.ServerList(api.ListKind.FAILED)))
+        [timer] = timers(seldom.do(EndpointUpdate(UpdateKind.FAILED)))
         assert timer.delay_ms <= ASK_LONGEST_MS  # the sum of waits counts on it
     assert len(delays) == 5
 
@@ -145,7 +164,7 @@
 def test_rule_4_a_cold_server_gets_its_part_only() -> None:
     node = Node(servers=4)
     node.serve(200)
-    node.change(api.ServerEntry(9, started_ms=node.now))
+    node.change(Endpoint(9, started_ms=node.now))
     picked = node.serve(100)  # 6 seconds, most of the ramp from a quarter to the full
     assert 0 < picked.count(9) < 100 / 5
 
@@ -154,24 +173,24 @@
     """Its limit, its time out and its cold budget, full in every copy at once, were the old process's."""
     node = Node(servers=2)
     node.serve(200)
-    node.change(api.ServerEntry(1, "z", "k", 1, started_ms=node.now - 5000.0))
+    node.change(Endpoint(1, "z", "k", 1, started_ms=node.now - 5000.0))
     for n in range(40):  # it goes down: what is out there breaks, nothing connects
         node.ask(f"down-{n}", "unsafe")
-        node.end(f"down-{n}", Result.UNREACHABLE if node.sent[f"down-{n}"][0] == 1 else Result.SERVED, 5.0)
+        node.end(f"down-{n}", Outcome.UNREACHABLE if node.sent[f"down-{n}"][0] == 1 else Outcome.SERVED, 5.0)
     old = node.balancer.fleet.servers[1]
     assert old.inflight_limit < math.inf and old.ejected_until_ms > node.now and old.budget.tokens >= 1.0
     while "late" not in node.sent or node.sent["late"][-1] != 1:
         old.ejected_until_ms, node.sent["late"] = -math.inf, []
         node.ask("late")
         if node.sent["late"][-1] != 1:
-            node.end("late", Result.SERVED, 5.0)
-    node.change(api.ServerEntry(1, "z", "k", 1, started_ms=old.started_ms and old.started_ms + 50.0))
+            node.end("late", Outcome.SERVED, 5.0)
+    node.change(Endpoint(1, "z", "k", 1, started_ms=old.started_ms and old.started_ms + 50.0))
     assert node.balancer.fleet.servers[1] is old  # the same start, read by another clock
-    node.change(api.ServerEntry(1, "z", "k", 1, started_ms=node.now))
+    node.change(Endpoint(1, "z", "k", 1, started_ms=node.now))
     new = node.balancer.fleet.servers[1]
     assert (new.inflight_limit, new.ejections, new.slowness, new.inflight) == (math.inf, 0, 1.0, 0)
     assert new.budget.tokens < 1.0
-    node.end("late", Result.RESET)  # of the old process: it tells nothing of the new
+    node.end("late", Outcome.RESET)  # of the old process: it tells nothing of the new
     assert not new.error_log_odds and not new.slowness > 1.0
 
 
@@ -179,20 +198,20 @@
     """It guessed what they bear from its answers, had none, and sent nothing until they were warm."""
     node = Node(servers=0, tier=1)
     start = node.now
-    node.list_all([api.ServerEntry(n, started_ms=start) for n in range(4)])
+    node.list_all([Endpoint(n, started_ms=start) for n in range(4)])
     served = 0
     for n in range(400):  # 4 s, half of the ramp
         node.ask(f"{n}")
         if f"{n}" in node.sent:
             served += 1
-            node.end(f"{n}", Result.SERVED, 5.0)
+            node.end(f"{n}", Outcome.SERVED, 5.0)
         node.now = start + 10.0 * n
     assert 4 <= served <= 4 * 0.5 * 3.0 * 4 * 100  # of what the settings allow, were each to serve in no time
 
 
 def test_a_server_with_an_old_start_is_warm() -> None:
     node = Node(servers=0)
-    node.list_all([api.ServerEntry(1), api.ServerEntry(2, started_ms=node.now - 9000.0)])
+    node.list_all([Endpoint(1), Endpoint(2, started_ms=node.now - 9000.0)])
     picked = node.serve(40)
     assert picked.count(2) == 20
 
@@ -208,7 +227,7 @@
         if node.sent[f"r{n}"][0] == stuck:
             given += 1
         else:
-            node.end(f"r{n}", Result.SERVED)
+            node.end(f"r{n}", Outcome.SERVED)
     assert given <= 5
 
 
@@ -217,7 +236,7 @@
     for _ in range(200):
         id = f"s{node.now}"
         node.ask(id)
-        node.end(id, Result.SERVED, 400.0 if node.sent[id][0] == 0 else 50.0)
+        node.end(id, Outcome.SERVED, 400.0 if node.sent[id][0] == 0 else 50.0)
     slow = node.balancer.fleet.servers[0]
     assert slow.speed(node.now, 0.0) < 0.5
     assert node.serve(20, gap_ms=0.0).count(0) <= 2  # a fair part is 5
@@ -232,7 +251,7 @@
         node.ask(f"e{n}", "unsafe")
         failing = node.sent[f"e{n}"][0] == 0
         bad += failing
-        node.end(f"e{n}", Result.ERROR if failing else Result.SERVED, 20.0)
+        node.end(f"e{n}", Outcome.ERROR if failing else Outcome.SERVED, 20.0)
     assert bad <= 4
     node.now += 60_000.0
     assert 0 in node.serve(8)
@@ -243,7 +262,7 @@
     node.serve(100)
     for n in range(80):
         node.ask(f"e{n}", "unsafe")
-        node.end(f"e{n}", Result.ERROR, 20.0)
+        node.end(f"e{n}", Outcome.ERROR, 20.0)
         assert sum(node.now < server.ejected_until_ms for server in node.balancer.fleet.ready) <= 2
 
 
@@ -281,9 +300,9 @@
     node.ask("k", "keyed")
     (first,) = node.sent["k"]
     node.list_all(entries(n for n in range(40) if n == first or n % 2 != first % 2 or n not in own))
-    node.change(*entries([first], health=api.Health.GONE))
-    (timer,) = timers(node.end("k", Result.ERROR))
-    node.do(api.TimerFired(timer.token), timer.delay_ms)
+    node.change(*entries([first], health=EndpointState.GONE))
+    (timer,) = timers(node.end("k", Outcome.ERROR))
+    node.do(TimerFired(timer.token), timer.delay_ms)
     again = node.sent["k"][1]
     assert again not in own
     assert again % 2 == first % 2
@@ -297,11 +316,11 @@
         node.ask(f"b{n}")
     out = sum(s.inflight for s in node.balancer.fleet.ready)
     assert out < 100
-    waiting = [a for _, a in node.log if isinstance(a, api.SetTimer)]
+    waiting = [a for _, a in node.log if isinstance(a, SetTimer)]
     assert len(waiting) >= 200
     refused = 0
     for timer in waiting:
-        refused += len(ends(node.do(api.TimerFired(timer.token))))
+        refused += len(ends(node.do(TimerFired(timer.token))))
     assert refused >= 200
 
 
@@ -313,9 +332,9 @@
     waiting = [id for id in node.balancer._calls if id not in node.sent]
     assert waiting
     for id in waiting:
-        node.do(api.ClientGone(id))
+        node.do(RequestAbandoned(id))
     for id in [id for id in node.sent if id.startswith("burst")]:
-        node.end(id, api.Result.SERVED)
+        node.end(id, Outcome.SERVED)
     assert not node.sent.keys() & set(waiting)
 
 
@@ -341,7 +360,7 @@
     n = fill(node)
     while sends(node.ask(f"dear{n}", "unsafe")):  # the last of the window is kept for it
         n += 1
-    sent = [send for k in range(5) for send in sends(node.end(f"fill{k}", Result.SERVED, 1.0))]
+    sent = [send for k in range(5) for send in sends(node.end(f"fill{k}", Outcome.SERVED, 1.0))]
     assert sent[0].id == f"dear{n}"
 
 
@@ -352,9 +371,9 @@
     node.serve(200, "keyed_all", delay_ms=400.0)
     n = fill(node)
     node.ask("slow", "keyed_all")
-    sent: list[api.Send] = []
+    sent: list[SendAttempt] = []
     for k in range(n):
-        sent += sends(node.end(f"fill{k}", Result.SERVED, 1.0))
+        sent += sends(node.end(f"fill{k}", Outcome.SERVED, 1.0))
     assert next(send.id for send in sent if send.id in (f"fill{n}", "slow")) == f"fill{n}"
 
 
@@ -367,12 +386,12 @@
         node.serve(100, "keyed_all")
         for n in range(20):
             node.ask(f"f{n}")
-            node.end(f"f{n}", Result.ERROR, 1.0, settled=False)
-            node.do(api.TimerFired(node.balancer._token), 3000.0)
+            node.end(f"f{n}", Outcome.ERROR, 1.0, settled=False)
+            node.do(TimerFired(node.balancer._token), 3000.0)
         n = fill(node)
         node.ask("dear", "keyed_all")
         for k in range(n):
-            sent = sends(node.end(f"fill{k}", Result.SERVED, 1.0))
+            sent = sends(node.end(f"fill{k}", Outcome.SERVED, 1.0))
             if sent:
                 return sent[0].id
         raise AssertionError("nothing was released")
@@ -393,7 +412,7 @@
 
 
 def test_over_share_tenants_wait_last() -> None:
-    tenants = [api.Tenant("x", 0.5, 5.0), api.Tenant("y", 0.5, 5.0)]
+    tenants = [Tenant("x", 0.5, 5.0), Tenant("y", 0.5, 5.0)]
     node = Node(servers=2, tenants=tenants, over_share_worth=0.05)
     node.serve(200)
     n = 0
@@ -402,9 +421,9 @@
     for k in range(5):
         node.ask(f"x{k}", tenant="x")
     node.ask("fair", tenant="y")
-    sent: list[api.Send] = []
+    sent: list[SendAttempt] = []
     for k in range(n):
-        sent += sends(node.end(f"b{k}", Result.SERVED, 1.0))
+        sent += sends(node.end(f"b{k}", Outcome.SERVED, 1.0))
         if sent:
             break
     assert sent[0].id == "fair"
@@ -412,18 +431,18 @@
 
 def test_unknown_ids_and_timers_change_nothing() -> None:
     node = Node()
-    assert node.do(api.TimerFired(999)) == []
-    assert node.do(api.ClientGone("nobody")) == []
-    node.do(api.AttemptEnded("nobody", 0, 0, Result.SERVED, 5.0, True))
-    node.do(api.AttemptEnded("nobody", 0, 77, Result.ERROR, 5.0, True))
+    assert node.do(TimerFired(999)) == []
+    assert node.do(RequestAbandoned("nobody")) == []
+    node.do(AttemptEnded("nobody", 0, 0, Outcome.SERVED, 5.0, True))
+    node.do(AttemptEnded("nobody", 0, 77, Outcome.ERROR, 5.0, True))
     assert math.isfinite(node.balancer.controller.allowed_rate)
 
 
 def test_a_stream_binds_its_request() -> None:
     node = Node()
     node.ask("a")
-    node.do(api.StreamStarted("a", 0, node.sent["a"][0]))
-    assert not sends(node.end("a", Result.RESET, 50.0, settled=True))
+    node.do(StreamStarted("a", 0, node.sent["a"][0]))
+    assert not sends(node.end("a", Outcome.RESET, 50.0, settled=True))
 
 
 def test_a_copy_that_sees_only_failures_goes_on() -> None:
@@ -431,7 +450,7 @@
     node = Node()
     for n in range(40):
         node.ask(f"f{n}")
-        node.end(f"f{n}", Result.UNREACHABLE, 100.0)
+        node.end(f"f{n}", Outcome.UNREACHABLE, 100.0)
     assert node.balancer.admission.window(4.0, node.now) == START * 4.0
     assert sends(node.ask("later"))
 
@@ -447,28 +466,28 @@
     node.ask("out", "safe")
     assert not gate(node, "out", 1)  # one is out already
     node.ask("late", "safe", 400.0)
-    node.end("late", Result.ERROR, 100.0)
+    node.end("late", Outcome.ERROR, 100.0)
     node.now += 298.0
     assert not gate(node, "late", 1)  # no time left
     node.ask("keyed", "keyed")
-    node.end("keyed", Result.ERROR, 10.0)
+    node.end("keyed", Outcome.ERROR, 10.0)
     other = 1 - node.sent["keyed"][0] % 2
     assert not gate(node, "keyed", other)  # another group
     node.now += 1995.0
     assert not gate(node, "keyed", 1 - other)  # the window is over
     node.ask("again", "safe")
-    node.end("again", Result.ERROR, 10.0)
+    node.end("again", Outcome.ERROR, 10.0)
     assert gate(node, "again", 1)  # the gate does open
 
 
 def test_the_gate_itself_keeps_the_cold_budget() -> None:
     node = Node(servers=4)
     node.serve(200)
-    node.change(api.ServerEntry(9, started_ms=node.now))
+    node.change(Endpoint(9, started_ms=node.now))
     passed = 0
     for n in range(60):  # in no time
         node.ask(f"c{n}")
-        node.end(f"c{n}", Result.UNREACHABLE, 0.0)
+        node.end(f"c{n}", Outcome.UNREACHABLE, 0.0)
         passed += gate(node, f"c{n}", 9)
     assert passed <= 4
 
@@ -476,7 +495,7 @@
 def test_a_cold_server_takes_fewer_turns_than_its_budget_allows() -> None:
     node = Node(servers=4, overload_factor=50.0)
     node.serve(200)
-    node.change(api.ServerEntry(9, started_ms=node.now))
+    node.change(Endpoint(9, started_ms=node.now))
     assert node.serve(20).count(9) <= 2
 
 
@@ -485,7 +504,7 @@
     node = Node(servers=4, tier=1, passes_deadline=False)
     (early,) = sends(node.ask("early"))
     assert early.timeout_ms > 2000.0  # nothing is usual yet
-    node.end("early", Result.SERVED)
+    node.end("early", Outcome.SERVED)
     node.serve(100, delay_ms=50.0)
     (send,) = sends(node.ask("lost"))
     assert 100.0 < send.timeout_ms < 600.0
@@ -500,8 +519,8 @@
     back_off_ms = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * 1000.0)
     [first] = sends(node.ask("a"))
     assert first.timeout_ms == pytest.approx(back_off_ms)
-    [timer] = timers(node.end("a", Result.TIMEOUT, first.timeout_ms))
-    [second] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
+    [timer] = timers(node.end("a", Outcome.TIMEOUT, first.timeout_ms))
+    [second] = sends(node.do(TimerFired(timer.token), timer.delay_ms))
     assert second.timeout_ms == pytest.approx(2.0 * back_off_ms)
 
 
@@ -511,11 +530,11 @@
     node.serve(100)
     [first] = sends(node.ask("a"))
     assert 0.0 < first.timeout_ms < 300.0  # some times the usual 50
-    [timer] = timers(node.end("a", Result.TIMEOUT, first.timeout_ms))
+    [timer] = timers(node.end("a", Outcome.TIMEOUT, first.timeout_ms))
     assert timer.delay_ms == 0.0
-    [second] = sends(node.do(api.TimerFired(timer.token)))
+    [second] = sends(node.do(TimerFired(timer.token)))
     assert second.server != first.server and second.timeout_ms > 1.5 * first.timeout_ms
-    [timer] = timers(node.end("a", Result.ERROR, 1.0))
+    [timer] = timers(node.end("a", Outcome.ERROR, 1.0))
     assert timer.delay_ms > 0.0
 
 
@@ -550,7 +569,7 @@
     first = list(node.sent)
     assert START * 4 * 0.8 <= len(first) <= START * 4
     for id in first[:10]:
-        node.end(id, Result.SERVED, 1.0)
+        node.end(id, Outcome.SERVED, 1.0)
     assert len(node.sent) >= len(first) + 18  # each answer lets two out: its own place and one more
 
 
@@ -570,7 +589,7 @@
         for n in range(count):
             id = f"{node.now}-{n}"
             node.ask(id)
-            node.end(id, Result.UNREACHABLE, 0.0)
+            node.end(id, Outcome.UNREACHABLE, 0.0)
             retries += gate(node, id, n % 8)
         return retries
 
@@ -586,19 +605,19 @@
     node = Node(8)
     for n in range(20):
         node.ask(f"{n}")
-        node.end(f"{n}", Result.UNREACHABLE, 0.0)
+        node.end(f"{n}", Outcome.UNREACHABLE, 0.0)
         assert gate(node, f"{n}", 1)
 
 
 def test_rule_6_full_is_no_proof_where_so_stated() -> None:
     node = Node(full_may_have_run=True)
     node.ask("a", "unsafe")
-    assert ends(node.end("a", Result.REFUSED)) == [api.Fail("a")]
+    assert ends(node.end("a", Outcome.REFUSED)) == [FailRequest("a")]
     node.ask("b", "keyed")
-    node.end("b", Result.REFUSED, 10.0)
+    node.end("b", Outcome.REFUSED, 10.0)
     assert not gate(node, "b", 1 - node.sent["b"][0] % 2)  # it stays inside its group
     node.ask("c", "unsafe")
-    assert timers(node.end("c", Result.UNREACHABLE))  # that is still a proof
+    assert timers(node.end("c", Outcome.UNREACHABLE))  # that is still a proof
 
 
 def test_the_loop_sheds_first_sends_while_the_delay_is_over_the_target() -> None:
@@ -609,7 +628,7 @@
     for n in range(30):
         node.ask(f"slow{n}", "unsafe")
         if node.sent.get(f"slow{n}"):
-            node.end(f"slow{n}", Result.SERVED, 900.0)
+            node.end(f"slow{n}", Outcome.SERVED, 900.0)
     assert node.balancer.controller.shed_share(node.now) > 0.3
     cheap = sum(bool(sends(node.ask(f"cheap{n}"))) for n in range(100))
     assert cheap < 70  # the class of least value goes first
@@ -625,7 +644,7 @@
     for n in range(20):
         node.ask(f"f{n}", "unsafe")
         if node.sent.get(f"f{n}"):
-            node.end(f"f{n}", Result.REFUSED, 5.0)
+            node.end(f"f{n}", Outcome.REFUSED, 5.0)
     assert node.balancer.controller.shed_share(node.now) > 0.0
 
 
@@ -637,7 +656,7 @@
     [stuck] = node.sent["stuck"]
     node.now += 1000.0
     assert stuck not in node.serve(30)
-    node.end("stuck", Result.SERVED, 0.0)
+    node.end("stuck", Outcome.SERVED, 0.0)
     assert stuck in node.serve(30)
 
 
@@ -651,11 +670,11 @@
     silent = next(n for n in range(8) if node.sent[f"c{n}"] in [node.sent[f"c{m}"] for m in range(n + 1, 8)])
     for n in range(8):
         if n != silent:
-            node.end(f"c{n}", Result.SERVED, 5.0)
+            node.end(f"c{n}", Outcome.SERVED, 5.0)
     [server] = node.sent[f"c{silent}"]
     node.now += 1000.0
     assert server in node.serve(12)
-    node.end(f"c{silent}", Result.TIMEOUT, 500.0)
+    node.end(f"c{silent}", Outcome.TIMEOUT, 500.0)
     assert server in node.serve(12)
 
 
@@ -665,13 +684,13 @@
     node.serve(20)
     share, answers = node.balancer.usual_delay.share, node.balancer.controller.answers.events
     node.ask("left")
-    node.do(api.ClientGone("left"), 10.0)
-    node.end("left", Result.SERVED, 800.0, settled=True)
+    node.do(RequestAbandoned("left"), 10.0)
+    node.end("left", Outcome.SERVED, 800.0, settled=True)
     assert node.balancer.usual_delay.share > 1.2 * share
     assert node.balancer.controller.answers.events > 0.8 * answers + 0.9
     node.ask("left late")
-    node.do(api.ClientGone("left late"), 10.0)
-    node.end("left late", Result.TIMEOUT, 2850.0, settled=True)
+    node.do(RequestAbandoned("left late"), 10.0)
+    node.end("left late", Outcome.TIMEOUT, 2850.0, settled=True)
     assert node.balancer.fleet.servers[node.sent["left late"][0]].slowness > 2.0
 
 
@@ -683,9 +702,9 @@
     node.ask("after")
     server = node.balancer.fleet.servers[0]
     assert server.inflight == 1
-    node.end("before", Result.SERVED)
+    node.end("before", Outcome.SERVED)
     assert server.inflight == 1 and node.balancer.inflight == 1
-    node.end("after", Result.SERVED)
+    node.end("after", Outcome.SERVED)
     assert server.inflight == node.balancer.inflight == 0
 
 
@@ -695,7 +714,7 @@
     node.serve(200)
     node.ask("a")
     [crowded] = node.sent["a"]
-    event = api.AttemptEnded("a", 0, crowded, Result.SERVED, 50.0, True, {"queue": 6.0})
+    event = AttemptEnded("a", 0, crowded, Outcome.SERVED, 50.0, True, {"queue": 6.0})
     node.do(event, 50.0)
     assert crowded not in node.serve(20)
     node.now += 60_000.0
@@ -705,11 +724,11 @@
 def test_a_refusal_wherever_a_repeat_is_harmless() -> None:
     """Leiden's days: what was turned away and could be asked again was failed, which promises nothing."""
     for cls, result, end in (
-        ("safe", Result.ERROR, api.Refuse),
-        ("keyed_all", Result.ERROR, api.Refuse),
-        ("unsafe", Result.UNREACHABLE, api.Refuse),
-        ("keyed", Result.ERROR, api.Fail),
-        ("unsafe", Result.ERROR, api.Fail),
+        ("safe", Outcome.ERROR, RejectRequest),
+        ("keyed_all", Outcome.ERROR, RejectRequest),
+        ("unsafe", Outcome.UNREACHABLE, RejectRequest),
+        ("keyed", Outcome.ERROR, FailRequest),
+        ("unsafe", Outcome.ERROR, FailRequest),
     ):
         node = Node(max_attempts=1)
         node.ask("a", cls)
@@ -722,8 +741,8 @@
     # It advised the wait before the module's own retry, 17 ms: whoever followed it came back to the jam.
     node = Node(max_attempts=1, max_retry_after_ms=longest_ms)
     node.ask("a")
-    [answer] = ends(node.end("a", Result.ERROR))
-    assert isinstance(answer, api.Refuse) and answer.retry_after_ms == longest_ms
+    [answer] = ends(node.end("a", Outcome.ERROR))
+    assert isinstance(answer, RejectRequest) and answer.retry_after_ms == longest_ms
 
 
 def test_idle_connections_are_closed_after_two_losses_on_such() -> None:
@@ -731,15 +750,15 @@
     node = Node(servers=4, tier=1)
     node.serve(40)
 
-    def idle_send(id: str) -> list[api.Action]:
+    def idle_send(id: str) -> list[PolicyAction]:
         node.now += 3000.0
         return node.ask(id)
 
     for n in range(2):
-        assert not [a for a in idle_send(f"l{n}") if isinstance(a, api.CloseIdle)]
-        node.end(f"l{n}", Result.TIMEOUT, 500.0)
+        assert not [a for a in idle_send(f"l{n}") if isinstance(a, CloseIdleConnections)]
+        node.end(f"l{n}", Outcome.TIMEOUT, 500.0)
     actions = idle_send("later")
-    assert isinstance(actions[0], api.CloseIdle) and isinstance(actions[1], api.Send)
+    assert isinstance(actions[0], CloseIdleConnections) and isinstance(actions[1], SendAttempt)
     assert actions[0].server == actions[1].server
 
 
@@ -747,9 +766,9 @@
     """akl big-1: each time-out brought handshakes, which cost servers work."""
     node = Node(servers=1, tier=1)
     node.serve(10)
-    for n, result in enumerate([Result.TIMEOUT, Result.SERVED, Result.TIMEOUT, Result.SERVED]):
+    for n, result in enumerate([Outcome.TIMEOUT, Outcome.SERVED, Outcome.TIMEOUT, Outcome.SERVED]):
         node.now += 3000.0 + 1000.0 * n
-        assert not [a for a in node.ask(f"{n}") if isinstance(a, api.CloseIdle)]
+        assert not [a for a in node.ask(f"{n}") if isinstance(a, CloseIdleConnections)]
         node.end(f"{n}", result, 500.0)
 
 
@@ -759,21 +778,21 @@
     node.serve(40)
     for n in range(4):
         node.now += 200.0
-        assert not [a for a in node.ask(f"l{n}") if isinstance(a, api.CloseIdle)]
-        node.end(f"l{n}", Result.TIMEOUT, 500.0)
+        assert not [a for a in node.ask(f"l{n}") if isinstance(a, CloseIdleConnections)]
+        node.end(f"l{n}", Outcome.TIMEOUT, 500.0)
 
 
 def test_a_reset_at_once_on_an_idled_connection_closes_such_before_use() -> None:
     """rota sev8122: one in six connections was gone after 100 ms, and each cost a call its try."""
     node = Node(servers=1)
     node.serve(40)
-    for n, result in enumerate([Result.RESET, Result.SERVED, Result.SERVED, Result.RESET]):
+    for n, result in enumerate([Outcome.RESET, Outcome.SERVED, Outcome.SERVED, Outcome.RESET]):
         node.now += 300.0
-        assert not [a for a in node.ask(f"{n}") if isinstance(a, api.CloseIdle)]
+        assert not [a for a in node.ask(f"{n}") if isinstance(a, CloseIdleConnections)]
         node.end(f"{n}", result, 0.5)
     node.now += 300.0
     actions = node.ask("a")
-    assert isinstance(actions[0], api.CloseIdle) and isinstance(actions[1], api.Send)
+    assert isinstance(actions[0], CloseIdleConnections) and isinstance(actions[1], SendAttempt)
 
 
 def test_a_reset_of_a_call_in_work_says_nothing_of_idling() -> None:
@@ -781,17 +800,17 @@
     node.serve(40)
     for n in range(4):
         node.now += 300.0
-        assert not [a for a in node.ask(f"{n}") if isinstance(a, api.CloseIdle)]
-        node.end(f"{n}", Result.RESET, 30.0)
+        assert not [a for a in node.ask(f"{n}") if isinstance(a, CloseIdleConnections)]
+        node.end(f"{n}", Outcome.RESET, 30.0)
 
 
 def test_a_hot_copy_takes_no_more_slices_than_there_are() -> None:
     """They doubled with each send without end, and the whole fleet was cut anew each time."""
-    settings = api.Settings([api.RequestClass("read", 1000.0, 3000.0)], nodes=20, tier=1, tiers=2)
+    settings = Settings([RequestClass("read", 1000.0, 3000.0)], nodes=20, tier=1, tiers=2)
     balancer = Balancer(settings, 1)
-    balancer.handle(api.ServerList(api.ListKind.FULL, 1, [api.ServerEntry(n) for n in range(4)]), 0.0)
+    balancer.handle(EndpointUpdate(UpdateKind.FULL, 1, [Endpoint(n) for n in range(4)]), 0.0)
     for n in range(200):
-        balancer.handle(api.Request(f"{n}", "read", 3000.0), float(n))
+        balancer.handle(RequestReceived(f"{n}", "read", 3000.0), float(n))
     assert balancer.inflight == 200
     assert 20 <= balancer.fleet.slices < 40
 
@@ -801,10 +820,10 @@
     node = Node()
     node.serve(60, delay_ms=100.0)
     node.ask("a", ttl_ms=300.0)
-    actions = node.end("a", Result.TIMEOUT, 285.0)
+    actions = node.end("a", Outcome.TIMEOUT, 285.0)
     assert not timers(actions) and len(ends(actions)) == 1
     node.ask("b", ttl_ms=600.0)  # with time left for it, a retry still goes out
-    assert timers(node.end("b", Result.ERROR, 10.0))
+    assert timers(node.end("b", Outcome.ERROR, 10.0))
 
 
 def test_a_call_does_not_wait_behind_another_of_the_copy_while_a_peer_stands_idle() -> None:
@@ -816,7 +835,7 @@
     assert len({node.sent[f"a{n}"][0] for n in range(4)}) == 4
     [busy] = node.sent["a0"]
     for n in range(1, 4):
-        node.end(f"a{n}", Result.SERVED, 1.0)
+        node.end(f"a{n}", Outcome.SERVED, 1.0)
     for n in range(3):  # the first of these turns is that of the busy one
         node.ask(f"b{n}")
     assert busy not in [node.sent[f"b{n}"][0] for n in range(3)]
@@ -828,7 +847,7 @@
     for salt in range(50):
         node = Node(salt=salt)
         node.ask("a")
-        [timer] = timers(node.end("a", Result.RESET, 1.0))
+        [timer] = timers(node.end("a", Outcome.RESET, 1.0))
         waits.append(timer.delay_ms)
     assert max(waits) <= 0.1 * 1000.0
 
@@ -836,11 +855,11 @@
 @pytest.mark.parametrize(("late_worth", "retried"), [(0.0, False), (0.5, True)])
 def test_no_further_attempt_whose_answer_could_only_be_worthless(late_worth: float, retried: bool) -> None:
     # The caller waits for 3 s, but an answer after the aim of 1 s earns nothing where late_worth is 0.
-    cls = api.RequestClass("read", 1000.0, 3000.0, late_worth=late_worth, repeat=api.Repeat.SAFE)
+    cls = RequestClass("read", 1000.0, 3000.0, late_worth=late_worth, repeat=Idempotency.SAFE)
     node = Node(classes=[cls])
     node.serve(60, "read", delay_ms=100.0)
     node.ask("a", "read")
-    actions = node.end("a", Result.ERROR, 950.0)
+    actions = node.end("a", Outcome.ERROR, 950.0)
     assert bool(timers(actions)) is retried and bool(ends(actions)) is not retried
 
 
--- a/tests/test_listing_reader.py
+++ b/tests/test_listing_reader.py
@@ -13,7 +13,7 @@
 from tests.peers import Server, run, until, world
 from workspond.config import Listing, read_listing, server_id
 from workspond.discovery.endpoint_list_reader import ListingReader
-from workspond.policy import interface as api
+from workspond.policy.endpoint import Endpoint, EndpointState
 from workspond.settings_reader import Malformed
 
 
@@ -38,14 +38,14 @@
     """What somebody knows who takes each list as it is read."""
 
     def __init__(self) -> None:
-        self.entries: dict[int, api.ServerEntry] = {}
+        self.entries: dict[int, Endpoint] = {}
 
     def take(self, listing: Listing) -> None:
         if listing.whole:
             kept = listing.unchanged | {entry.server for entry in listing.entries}
             self.entries = {id: entry for id, entry in self.entries.items() if id in kept}
         for entry in listing.entries:
-            if entry.health is api.Health.GONE:
+            if entry.health is EndpointState.GONE:
                 self.entries.pop(entry.server, None)
             else:
                 self.entries[entry.server] = entry
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -30,9 +30,10 @@
 )
 from tests.test_wire import ROOT
 from workspond.config import address, server_id
-from workspond.policy import interface as api
 from workspond.policy import retry_policy
+from workspond.policy.actions import PolicyAction
 from workspond.policy.balancer import Balancer
+from workspond.policy.events import PolicyEvent, RequestReceived
 from workspond.policy.token_bucket import Bucket
 
 
@@ -443,10 +444,10 @@
     """Whatever goes wrong inside, a request taken gets its one answer, which promises nothing."""
     handle = Balancer.handle
 
-    def broken(self: Balancer, event: api.Event, now_ms: float) -> list[api.Action]:
-        if isinstance(event, api.Request) and event.id == "1":  # the node's own numbers
+    def broken(self: Balancer, event: PolicyEvent, now_ms: float) -> list[PolicyAction]:
+        if isinstance(event, RequestReceived) and event.id == "1":  # the node's own numbers
             return []
-        if isinstance(event, api.Request) and event.id == "2":
+        if isinstance(event, RequestReceived) and event.id == "2":
             raise RuntimeError("a fault")
         return handle(self, event, now_ms)
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -16,9 +16,11 @@
 
 from tests.peers import CLOSE, HANG, LIMIT_S, RESET, Peer, Seen, Server, answer, request, run, until, world
 from workspond.config import Address
-from workspond.policy import interface as api
+from workspond.policy.actions import SendAttempt
 from workspond.policy.balancer import Balancer
-from workspond.policy.interface import Result
+from workspond.policy.endpoint import Endpoint
+from workspond.policy.events import AttemptEnded, EndpointUpdate, Outcome, RequestReceived, UpdateKind
+from workspond.policy.settings import Idempotency, RequestClass, Settings
 from workspond.upstream import connection_pool as upstream
 from workspond.upstream.connection_pool import Answer, Connection, Upstream, read_report
 
@@ -156,11 +158,11 @@
         self.upstream = Upstream(loop, figures["connect_timeout_ms"], figures["keepalive_ms"], lambda: 100)
         host, port = address.split(":")
         self.address: Address = (host, int(port))
-        self.results: list[Result] = []
+        self.results: list[Outcome] = []
         self.answers: list[Answer | None] = []
 
     def send(self, id: str, alive: list[bool] | None = None) -> None:
-        def ended(result: Result, answer: Answer | None) -> None:
+        def ended(result: Outcome, answer: Answer | None) -> None:
             self.results.append(result)
             self.answers.append(answer)
 
@@ -168,7 +170,7 @@
             1, self.address, lambda: request(id), 20_000.0, lambda: alive is None or alive[0], ended
         )
 
-    async def result(self, count: int) -> Result:
+    async def result(self, count: int) -> Outcome:
         await until(lambda: len(self.results) == count)
         return self.results[-1]
 
@@ -213,10 +215,10 @@
         server = Blocking(reset=reset)
         attempts = Attempts(server.address)
         attempts.send("a")
-        assert await attempts.result(1) is Result.SERVED
+        assert await attempts.result(1) is Outcome.SERVED
         server.end_connection()
         attempts.send("b")
-        assert await attempts.result(2) is Result.SERVED
+        assert await attempts.result(2) is Outcome.SERVED
         assert [b"X-Call-Id: b" in got for got in server.got] == [False, True]
 
     run(test())
@@ -253,7 +255,7 @@
 
             loop.add_reader(inner, busy)
             outer.send(b"x")
-            assert await asyncio.wait_for(ended, LIMIT_S) is Result.SERVED
+            assert await asyncio.wait_for(ended, LIMIT_S) is Outcome.SERVED
             for peer in (connection, inner, outer):
                 peer.close()
 
@@ -268,12 +270,12 @@
         server = Blocking(reset=True)
         attempts = Attempts(server.address)
         attempts.send("a")
-        assert await attempts.result(1) is Result.SERVED
+        assert await attempts.result(1) is Outcome.SERVED
         server.end_connection()
         attempts.send("b")
-        assert await attempts.result(2) is Result.UNREACHABLE
+        assert await attempts.result(2) is Outcome.UNREACHABLE
         attempts.send("c")
-        assert await attempts.result(3) is Result.SERVED
+        assert await attempts.result(3) is Outcome.SERVED
 
     run(test())
 
@@ -287,9 +289,9 @@
         attempts, alive = Attempts(server.address), [True]
         attempts.send("a", alive)
         alive[0] = False
-        assert await attempts.result(1) is Result.MOOT
+        assert await attempts.result(1) is Outcome.MOOT
         attempts.send("b")  # the connection itself is good, and used
-        assert await attempts.result(2) is Result.SERVED
+        assert await attempts.result(2) is Outcome.SERVED
         assert [seen.id for seen in server.seen] == ["b"]
         assert server.connections == 1
         await server.stop()
@@ -303,7 +305,7 @@
         await server.start()
         attempts = Attempts(server.address, keepalive_ms=400.0)
         attempts.send("a")
-        assert await attempts.result(1) is Result.SERVED
+        assert await attempts.result(1) is Outcome.SERVED
         await until(lambda: server.lost == 1)
         assert attempts.upstream.count() == 0
         await server.stop()
@@ -355,9 +357,9 @@
         await server.start()
         attempts = Attempts(server.address)
         attempts.send("a")
-        assert await attempts.result(1) is Result.SERVED
+        assert await attempts.result(1) is Outcome.SERVED
         attempts.send("b")
-        assert await attempts.result(2) is Result.SERVED
+        assert await attempts.result(2) is Outcome.SERVED
         assert [taken.body for taken in attempts.answers if taken is not None] == [b"for a", b"for b"]
         await until(lambda: attempts.upstream.count() == 1)  # the first goes with what nobody asked for
         await server.stop()
@@ -381,13 +383,13 @@
 @pytest.mark.parametrize(
     ("problem", "result"),
     [
-        (OSError(errno.EMFILE, "too many open files"), Result.MOOT),
-        (OSError(errno.ECONNREFUSED, "refused"), Result.UNREACHABLE),
-        (RuntimeError("a fault"), Result.UNREACHABLE),
+        (OSError(errno.EMFILE, "too many open files"), Outcome.MOOT),
+        (OSError(errno.ECONNREFUSED, "refused"), Outcome.UNREACHABLE),
+        (RuntimeError("a fault"), Outcome.UNREACHABLE),
     ],
 )
 def test_a_dial_that_fails_ends_its_attempt_and_our_own_shortage_is_not_the_servers(
-    problem: Exception, result: Result, caplog: pytest.LogCaptureFixture
+    problem: Exception, result: Outcome, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         attempts = Attempts("127.0.0.1:1")
@@ -407,7 +409,7 @@
         attempts = Attempts(server.address)
         attempts.upstream._room = lambda: 0
         attempts.send("a")
-        assert await attempts.result(1) is Result.MOOT and not server.connections
+        assert await attempts.result(1) is Outcome.MOOT and not server.connections
         await server.stop()
 
     run(test())
@@ -429,8 +431,8 @@
             )
             for _ in range(n % 4):  # at each step of it
                 await asyncio.sleep(0)
-            attempt.break_off(Result.CANCELLED)
-        assert attempts.results == [Result.CANCELLED] * 20
+            attempt.break_off(Outcome.CANCELLED)
+        assert attempts.results == [Outcome.CANCELLED] * 20
         await until(lambda: attempts.upstream.count() == 0 and server.lost == server.connections)
         await server.stop()
 
@@ -441,13 +443,13 @@
     """A queue of 1e300, to the third power, stopped every pick."""
     report = read_report(b"queue=1e300")
     assert report == {"queue": 1e6}
-    settings = api.Settings([api.RequestClass("read", 1000.0, 3000.0, repeat=api.Repeat.SAFE)])
+    settings = Settings([RequestClass("read", 1000.0, 3000.0, repeat=Idempotency.SAFE)])
     balancer = Balancer(settings, 1)
-    balancer.handle(api.ServerList(api.ListKind.FULL, 1, [api.ServerEntry(7)]), 0.0)
+    balancer.handle(EndpointUpdate(UpdateKind.FULL, 1, [Endpoint(7)]), 0.0)
     for id in "ab":
-        [send] = balancer.handle(api.Request(id, "read", 3000.0), 1.0)
-        assert isinstance(send, api.Send)
-        balancer.handle(api.AttemptEnded(id, 0, 7, Result.SERVED, 5.0, True, report), 6.0)
+        [send] = balancer.handle(RequestReceived(id, "read", 3000.0), 1.0)
+        assert isinstance(send, SendAttempt)
+        balancer.handle(AttemptEnded(id, 0, 7, Outcome.SERVED, 5.0, True, report), 6.0)
 
 
 def test_a_report_that_cannot_be_read_counts_as_none() -> None:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -14,22 +14,33 @@
 
 from tests.checker import Broken, Checker
 from tests.helpers import settings
-from workspond.policy import interface as api
 from workspond.policy import server as server_module
+from workspond.policy.actions import FailRequest, PolicyAction, RejectRequest, SendAttempt, SetTimer
 from workspond.policy.balancer import Balancer
-from workspond.policy.interface import Result
+from workspond.policy.endpoint import Endpoint, EndpointState
+from workspond.policy.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    NodeStarted,
+    Outcome,
+    PolicyEvent,
+    RequestReceived,
+    TimerFired,
+    UpdateKind,
+)
 from workspond.policy.retry_policy import NEVER_RAN, RetryPolicy
 from workspond.policy.server import Server
+from workspond.policy.settings import RequestClass
 
-RESULTS = list(Result)
+RESULTS = list(Outcome)
 WEIGHTS = [12, 3, 3, 1, 3, 1, 1, 0]
 
 
 @dataclass
 class Owed:
-    cls: api.RequestClass
+    cls: RequestClass
     deadline: float
-    attempts: list[tuple[float, int, Result | None]] = field(default_factory=list)  # sent, server, result
+    attempts: list[tuple[float, int, Outcome | None]] = field(default_factory=list)  # sent, server, result
     ends: int = 0
 
 
@@ -42,54 +53,54 @@
         self.balancer = Balancer(self.settings, seed)
         self.checker = Checker(self.settings)
         self.now = 0.0
-        self.due: list[tuple[float, int, api.TimerFired | str]] = []  # timers, and deadlines by request
+        self.due: list[tuple[float, int, TimerFired | str]] = []  # timers, and deadlines by request
         self.order = 0
         self.requests: dict[str, Owed] = {}
-        self.entries: dict[int, api.ServerEntry] = {}
+        self.entries: dict[int, Endpoint] = {}
         self.sends: list[tuple[float, int]] = []
-        self.tell(api.Started())
+        self.tell(NodeStarted())
         self.news([self.entry(n) for n in range(self.rng.randrange(7))])
 
-    def entry(self, number: int, health: api.Health = api.Health.IN_SERVICE) -> api.ServerEntry:
+    def entry(self, number: int, health: EndpointState = EndpointState.IN_SERVICE) -> Endpoint:
         started = self.now if self.rng.random() < 0.2 else None
-        return api.ServerEntry(number, f"z{number % 2}", "k", number % 3, health, 1.0, started)
+        return Endpoint(number, f"z{number % 2}", "k", number % 3, health, 1.0, started)
 
-    def news(self, entries: list[api.ServerEntry], kind: api.ListKind = api.ListKind.FULL) -> None:
-        if kind is api.ListKind.FULL:
+    def news(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.FULL) -> None:
+        if kind is UpdateKind.FULL:
             self.entries = {}
         for entry in entries:
             self.entries[entry.server] = entry
-        self.tell(api.ServerList(kind, 1, entries))
+        self.tell(EndpointUpdate(kind, 1, entries))
 
-    def push(self, at: float, what: api.TimerFired | str) -> None:
+    def push(self, at: float, what: TimerFired | str) -> None:
         self.order += 1
         heapq.heappush(self.due, (at, self.order, what))
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: PolicyEvent) -> None:
         self.checker.event(event, self.now)
         for action in self.balancer.handle(event, self.now):
             self.check(action)
 
-    def check(self, action: api.Action) -> None:
+    def check(self, action: PolicyAction) -> None:
         self.checker.action(action, self.now)
-        if isinstance(action, api.SetTimer):
+        if isinstance(action, SetTimer):
             assert action.delay_ms >= 0.0
-            self.push(self.now + action.delay_ms, api.TimerFired(action.token))
-        elif isinstance(action, api.Send):
+            self.push(self.now + action.delay_ms, TimerFired(action.token))
+        elif isinstance(action, SendAttempt):
             self.requests[action.id].attempts.append((self.now, action.server, None))
             self.sends.append((self.now, action.server))
-        elif isinstance(action, api.Fail | api.Refuse):
+        elif isinstance(action, FailRequest | RejectRequest):
             self.requests[action.id].ends += 1
 
-    def finish(self, id: str, result: Result) -> None:
+    def finish(self, id: str, result: Outcome) -> None:
         owed = self.requests[id]
         sent, server, _ = owed.attempts[-1]
         owed.attempts[-1] = (sent, server, result)
-        settled = bool(owed.ends) or result is Result.SERVED
-        if result is Result.SERVED and not owed.ends:
+        settled = bool(owed.ends) or result is Outcome.SERVED
+        if result is Outcome.SERVED and not owed.ends:
             owed.ends += 1
         number = len(owed.attempts) - 1
-        self.tell(api.AttemptEnded(id, number, server, result, self.now - sent, settled))
+        self.tell(AttemptEnded(id, number, server, result, self.now - sent, settled))
 
     def out(self) -> list[str]:
         return [id for id, owed in self.requests.items() if owed.attempts and owed.attempts[-1][2] is None]
@@ -99,13 +110,13 @@
         while self.due and self.due[0][0] <= target:
             at, _, what = heapq.heappop(self.due)
             self.now = max(self.now, at)
-            if isinstance(what, api.TimerFired):
+            if isinstance(what, TimerFired):
                 self.tell(what)
             elif not self.requests[what].ends:
                 owed = self.requests[what]
                 if not owed.attempts or owed.attempts[-1][2] is not None:
                     raise Broken("rule 1: a request was lost")
-                self.finish(what, Result.TIMEOUT)
+                self.finish(what, Outcome.TIMEOUT)
                 assert owed.ends == 1
         self.now = target
 
@@ -116,17 +127,17 @@
             ttl = self.rng.choice([1.0, 50.0, 700.0, 3000.0])
             self.requests[id] = Owed(cls, self.now + ttl)
             self.push(self.now + ttl, id)
-            self.tell(api.Request(id, cls.name, ttl))
+            self.tell(RequestReceived(id, cls.name, ttl))
         elif choice < 0.7 and self.out():
             self.finish(self.rng.choice(self.out()), self.rng.choices(RESULTS, WEIGHTS)[0])
         elif choice < 0.75:
             number = self.rng.randrange(8)
-            health = self.rng.choice([api.Health.IN_SERVICE, api.Health.DRAINING, api.Health.GONE])
-            self.news([self.entry(number, health)], api.ListKind.CHANGES)
+            health = self.rng.choice([EndpointState.IN_SERVICE, EndpointState.DRAINING, EndpointState.GONE])
+            self.news([self.entry(number, health)], UpdateKind.CHANGES)
         elif choice < 0.77:
             self.news([self.entry(n) for n in range(8) if self.rng.random() < 0.7])
         elif choice < 0.78:
-            self.tell(api.ServerList(api.ListKind.FAILED))
+            self.tell(EndpointUpdate(UpdateKind.FAILED))
         else:
             self.pass_time(self.rng.choice([1.0, 5.0, 40.0, 300.0]))
 
@@ -182,14 +193,16 @@
         assert breaks().startswith("rule 1")
     with monkeypatch.context() as patch:
         patch.setattr(
-            server_module, "Health", type("AllInService", (), {"IN_SERVICE": api.Health.DRAINING, "GONE": 0})
+            server_module,
+            "Health",
+            type("AllInService", (), {"IN_SERVICE": EndpointState.DRAINING, "GONE": 0}),
         )
         assert breaks(drain_grace_ms=0.0).startswith("rule 3")
 
     class TrustsRefusals(RetryPolicy):
         """Holds that 'full' proves that an attempt never ran, whatever the settings say."""
 
-        def may_have_run(self, result: Result) -> bool:
+        def may_have_run(self, result: Outcome) -> bool:
             return result not in NEVER_RAN
 
     with monkeypatch.context() as patch:
@@ -201,23 +214,23 @@
 def test_a_burst_onto_cold_servers_stays_in_budget(seed: int) -> None:
     """Two cold servers join, then a burst comes: each gets less than the stated multiple of its part."""
     world = World(seed, tier=1)
-    world.news([api.ServerEntry(n) for n in range(4)])
+    world.news([Endpoint(n) for n in range(4)])
 
     def load(seconds: float, gap: float, first: int) -> None:
         for k in range(int(seconds * 1000 / gap)):
             id = f"{first}-{k}"
             world.requests[id] = Owed(world.settings.classes[0], world.now + 3000.0)
-            world.tell(api.Request(id, "safe", 3000.0))
+            world.tell(RequestReceived(id, "safe", 3000.0))
             world.pass_time(gap)
             for other in world.out():
                 if world.now - world.requests[other].attempts[-1][0] >= 30.0:
-                    world.finish(other, Result.SERVED)
+                    world.finish(other, Outcome.SERVED)
 
     load(20, 10.0, 0)
     rate = 100.0 / 4  # a second, to a warm server
     start = world.now
-    cold = [api.ServerEntry(n, started_ms=start) for n in (8, 9)]
-    world.news([api.ServerEntry(n) for n in range(4)] + cold)
+    cold = [Endpoint(n, started_ms=start) for n in (8, 9)]
+    world.news([Endpoint(n) for n in range(4)] + cold)
     load(3, 4.0, 1)
     for server in (8, 9):
         times = [at for at, to in world.sends if to == server]
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -11,7 +11,7 @@
 from tests.helpers import settings
 from tests.peers import RESET, Server, run, world
 from workspond.config import now_ms
-from workspond.policy.interface import Result
+from workspond.policy.events import Outcome
 from workspond.policy.retry_policy import RetryPolicy
 from workspond.upstream.send_guard import AttemptLog, Refusal, SendGuard
 
@@ -27,7 +27,7 @@
     return of.refusal("a", cls, attempts, int(changes.get("server", SERVER)), ADDRESS, latest_ms)
 
 
-def after(result: Result) -> AttemptLog:
+def after(result: Outcome) -> AttemptLog:
     attempts = AttemptLog()
     attempts.write()
     attempts.end(guard().may_have_run(result))
@@ -43,12 +43,12 @@
     assert not of.broken
 
 
-@pytest.mark.parametrize("result", [Result.TIMEOUT, Result.RESET, Result.ERROR, Result.SERVED])
-def test_an_unsafe_request_that_may_have_run_is_not_written_again(result: Result) -> None:
+@pytest.mark.parametrize("result", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SERVED])
+def test_an_unsafe_request_that_may_have_run_is_not_written_again(result: Outcome) -> None:
     of = guard()
     assert refusal(of, after(result), "unsafe") is Refusal.UNSAFE_REPEAT
     assert refusal(of, after(result), "safe") is None
-    assert refusal(of, after(Result.REFUSED), "unsafe") is None
+    assert refusal(of, after(Outcome.REFUSED), "unsafe") is None
     assert of.broken == {Refusal.UNSAFE_REPEAT: 1}
 
 
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -18,9 +18,11 @@
 from tests.plain_selection import CheckedSelector, parts
 from tests.test_property import play
 from workspond.policy import balancer
-from workspond.policy import interface as api
 from workspond.policy.deduplication_groups import GroupIndex
+from workspond.policy.endpoint import Endpoint
+from workspond.policy.events import EndpointUpdate, UpdateKind
 from workspond.policy.server import Server
+from workspond.policy.settings import RequestClass, Settings
 from workspond.policy.subset import Subset
 from workspond.policy.token_bucket import Bucket
 from workspond.policy.weighted_round_robin import Level, Place, Rotation
@@ -116,7 +118,7 @@
 
 def test_groups_hold_what_was_put_in_and_draw_a_part_of_it() -> None:
     rng, index, held = Random(1), GroupIndex(), dict[int, str]()
-    servers = [Server(api.ServerEntry(n), 0.0, rng) for n in range(60)]
+    servers = [Server(Endpoint(n), 0.0, rng) for n in range(60)]
     for _ in range(2000):
         server, key = rng.choice(servers), rng.choice("abc")
         if rng.random() < 0.3:
@@ -173,15 +175,15 @@
         return 1.0
 
     monkeypatch.setattr(Server, "speed", speed)
-    node.change(api.ServerEntry(7, "z", "k", 1, share=2.0))
+    node.change(Endpoint(7, "z", "k", 1, share=2.0))
     assert set(looked) == {7}
 
 
 def test_a_cold_server_that_is_seldom_looked_at_saves_up_no_more() -> None:
     """What comes into a budget grows with the ramp: a look after a long while took the last rate for all."""
     often, seldom = Bucket(0.0, 0.0), Bucket(0.0, 0.0)
-    settings = api.Settings(
-        [api.RequestClass("read", 100.0, 400.0)],
+    settings = Settings(
+        [RequestClass("read", 100.0, 400.0)],
         start_capacity=0.2,
         ramp_time_ms=8000.0,
         overload_factor=2.5,
@@ -190,7 +192,7 @@
     saved = []
     for bucket, step in ((often, 10), (seldom, 2000)):
         node = balancer.Balancer(settings, 1)
-        node.handle(api.ServerList(api.ListKind.FULL, 1, [api.ServerEntry(1, started_ms=0.0)]), 0.0)
+        node.handle(EndpointUpdate(UpdateKind.FULL, 1, [Endpoint(1, started_ms=0.0)]), 0.0)
         server, start = node.fleet.servers[1], node._slow_start
         server.budget = bucket
         for now in range(0, 4001, step):
@@ -220,7 +222,7 @@
     for seed in range(10):
         play(seed, **changes)
     node = Node(servers=0, tier=1, **changes)
-    node.list_all([api.ServerEntry(n, started_ms=node.now) for n in range(3)])
+    node.list_all([Endpoint(n, started_ms=node.now) for n in range(3)])
     for n in range(50):
         node.ask(f"{n}")
         node.now += 200.0
@@ -228,7 +230,7 @@
 
 def test_a_server_of_hardly_any_weight_stops_no_pick() -> None:
     node = Node(servers=0)
-    node.list_all([api.ServerEntry(1, share=5e-324), api.ServerEntry(2, share=1.0)])
+    node.list_all([Endpoint(1, share=5e-324), Endpoint(2, share=1.0)])
     assert set(node.serve(20)) <= {1, 2}
 
 
@@ -236,7 +238,7 @@
     """Its next look lay most of a wait ahead that had been worked out while hardly any answers came."""
     node = Node(servers=2, ramp_time_ms=60_000.0, start_capacity=0.2, overload_factor=2.5, tier=1)
     node.serve(10, gap_ms=2_000.0)
-    node.change(api.ServerEntry(9, "z", "k", 1, started_ms=node.now))
+    node.change(Endpoint(9, "z", "k", 1, started_ms=node.now))
     cold = node.balancer.fleet.servers[9]
     cold.budget.tokens = 0.0
     node.balancer._selector.update(cold, node.now)
--- a/workspond/config.py
+++ b/workspond/config.py
@@ -13,7 +13,8 @@
 from collections.abc import Set
 from dataclasses import dataclass
 
-from workspond.policy import interface as api
+from workspond.policy.endpoint import Endpoint, EndpointState
+from workspond.policy.settings import Settings
 from workspond.settings_reader import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
 
 Address = tuple[str, int]
@@ -23,9 +24,9 @@
 PORT = re.compile("[0-9]{1,5}")
 
 STATUSES = {
-    "active": api.Health.IN_SERVICE,
-    "leaving": api.Health.DRAINING,
-    "left": api.Health.GONE,
+    "active": EndpointState.IN_SERVICE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
 }
 
 
@@ -43,7 +44,7 @@
 
     index: int
     whole: bool
-    entries: list[api.ServerEntry]
+    entries: list[Endpoint]
     addresses: dict[int, Address]
     since_ms: dict[int, float]  # when each last started: Unix time in ms, 0 for long ago
     previous_ms: float = -math.inf  # when the answer before it came, by `now_ms`
@@ -60,7 +61,7 @@
     seed: int
     sockets: int
     known: Listing
-    settings: api.Settings
+    settings: Settings
 
 
 def now_ms() -> float:
@@ -93,14 +94,14 @@
 
 def read_listing(obj: Json) -> Listing:
     """Read a list as discovery writes it; `StartTimes` turns `since_ms` into the entries' starts."""
-    entries: list[api.ServerEntry] = []
+    entries: list[Endpoint] = []
     addresses: dict[int, Address] = {}
     since_ms: dict[int, float] = {}
     for item in objects(obj, "endpoints"):
         server = server_id(get(item, "name", str))
         since_ms[server] = opt(item, "since_ms", NUMBER, 0)
         entries.append(
-            api.ServerEntry(
+            Endpoint(
                 server=server,
                 zone=opt(item, "zone", str, ""),
                 kind=opt(item, "type", str, ""),
--- a/workspond/discovery/endpoint_list_reader.py
+++ b/workspond/discovery/endpoint_list_reader.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from workspond.config import Listing, read_listing
-from workspond.policy import interface as api
+from workspond.policy.endpoint import EndpointState
 from workspond.settings_reader import Json, Malformed
 
 ENDPOINTS = re.compile(r'"endpoints"\s*:\s*\[')
@@ -101,7 +101,7 @@
         self._texts = unchanged | {
             entry.server: text
             for entry, text in zip(listing.entries, new, strict=True)
-            if entry.health is not api.Health.GONE
+            if entry.health is not EndpointState.GONE
         }
         self._servers = {text: server for server, text in self._texts.items()}
         return listing
--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -18,7 +18,7 @@
 from workspond.http.request_parser import Item, Rejection, RequestParser
 from workspond.http.response import Reply, render
 from workspond.observability.counters import Event, EventCounts
-from workspond.policy import interface as api
+from workspond.policy.settings import RequestClass
 
 MOST_QUEUED = 8  # messages read ahead of their turn; the rest waits unread, or read and not parsed
 PARSE_BYTES = 4096  # taken from what has been read at a time, so that few messages go beyond that
@@ -44,7 +44,7 @@
 class ConnectionOwner(Protocol):
     """What a connection needs of the frontend."""
 
-    classes: dict[str, api.RequestClass]
+    classes: dict[str, RequestClass]
     counts: EventCounts
 
     def accept(self, message: Message, requester: Requester) -> TakenRequest:
--- a/workspond/downstream/frontend.py
+++ b/workspond/downstream/frontend.py
@@ -13,7 +13,7 @@
 from workspond.http.request import Message
 from workspond.http.response import Reply
 from workspond.observability.counters import EventCounts
-from workspond.policy import interface as api
+from workspond.policy.settings import RequestClass
 
 SWEEP_S = 0.2  # how often stages are looked at; limits are late by so much at most
 MOST_POLLED = 32  # connections asked whether they can go, for each new one
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        classes: dict[str, api.RequestClass],
+        classes: dict[str, RequestClass],
         accept: Accept,
         ready: Callable[[], bool],
         most: int,
--- a/workspond/http/request.py
+++ b/workspond/http/request.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from urllib.parse import unquote
 
-from workspond.policy import interface as api
+from workspond.policy.settings import Idempotency, RequestClass
 
 # Each may come once: of two, a server might believe the other one.
 SINGLE = frozenset(
@@ -63,7 +63,7 @@
 
 
 def read_message(
-    classes: dict[str, api.RequestClass],
+    classes: dict[str, RequestClass],
     method: bytes,
     target: bytes,
     headers: dict[bytes, bytes],
@@ -79,7 +79,7 @@
         raise Unacceptable("X-Caller or the path can't be read") from None
     if cls is None:
         raise Unacceptable("no such class")
-    if method != (b"GET" if cls.repeat is api.Repeat.SAFE else b"POST"):
+    if method != (b"GET" if cls.repeat is Idempotency.SAFE else b"POST"):
         raise Unacceptable("not the method of this class")
     if method == b"GET" and body:
         raise Unacceptable("GET with a body")
@@ -87,7 +87,7 @@
     if id is None or not TOKEN.fullmatch(id):
         raise Unacceptable("X-Call-Id is missing or can't be used")
     # Without its key servers could not drop a keyed request's repeats.
-    if (key is not None) != (cls.repeat is api.Repeat.KEYED) or not TOKEN.fullmatch(key or b"none"):
+    if (key is not None) != (cls.repeat is Idempotency.KEYED) or not TOKEN.fullmatch(key or b"none"):
         raise Unacceptable("Idempotency-Key does not fit this class")
     if budget is None or not SECONDS.fullmatch(budget) or not float(budget):
         raise Unacceptable("X-Budget must be seconds above 0")
--- a/workspond/http/request_parser.py
+++ b/workspond/http/request_parser.py
@@ -14,7 +14,7 @@
 from workspond.http.limits import MAX_BODY, MAX_HEAD
 from workspond.http.request import SINGLE, Message, Unacceptable, check_framing, read_message
 from workspond.http.response import Reply
-from workspond.policy import interface as api
+from workspond.policy.settings import RequestClass
 
 OWN_PATHS = b"/-/"  # the node answers for these itself
 
@@ -32,7 +32,7 @@
 class RequestParser:
     """One connection's parser: bytes in, whole messages out, in order."""
 
-    def __init__(self, classes: dict[str, api.RequestClass], own_path: Callable[[bytes], Reply]) -> None:
+    def __init__(self, classes: dict[str, RequestClass], own_path: Callable[[bytes], Reply]) -> None:
         self._classes, self._own_path = classes, own_path
         self._parser = httptools.HttpRequestParser(self)
         self._items: list[Item] = []
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -21,9 +21,30 @@
 from workspond.http.request import Message, Unacceptable
 from workspond.http.response import Reply
 from workspond.observability.counters import Event, EventCounts
-from workspond.policy import interface as api
+from workspond.policy.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    PolicyAction,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    Subscribe,
+    WriteLog,
+)
 from workspond.policy.balancer import Balancer
-from workspond.policy.interface import Result
+from workspond.policy.endpoint import Endpoint, EndpointState
+from workspond.policy.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    NodeStarted,
+    Outcome,
+    PolicyEvent,
+    RequestAbandoned,
+    RequestReceived,
+    TimerFired,
+    UpdateKind,
+)
 from workspond.policy.token_bucket import Bucket
 from workspond.upstream.connection_pool import Answer, Attempt, Upstream
 from workspond.upstream.send_guard import AttemptLog, Refusal, SendGuard
@@ -108,7 +129,7 @@
         settings = config.settings
         self._descriptors = usable_descriptors(config.sockets)
         self._balancer = Balancer(settings, config.seed)
-        self._events: deque[api.Event] = deque()
+        self._events: deque[PolicyEvent] = deque()
         self._handling = False
         # Keyed by a serial of the node's own, as is all that the module hears: an attempt may outlast its
         # request, and a caller's id that came again would mix up their books.
@@ -138,7 +159,7 @@
     def start(self) -> None:
         """Let the module begin, and ask for the list: the node is ready once that call has ended."""
         self.counts.report_regularly(self._loop)
-        self._handle(api.Started())
+        self._handle(NodeStarted())
         if not self._config.settings.follow_list:
             self._discovery.subscribe()
 
@@ -200,7 +221,7 @@
         self._open_ids.add(message.id)
         self._set_deadline_timer(live)
         ttl_ms = max(0.0, live.deadline_ms - now - MARGIN_MS)
-        self._handle(api.Request(id, message.cls, ttl_ms, message.tenant, message.again))
+        self._handle(RequestReceived(id, message.cls, ttl_ms, message.tenant, message.again))
         return live
 
     def _set_deadline_timer(self, live: Live) -> None:
@@ -215,7 +236,7 @@
         if self._drop(live):
             self.counts.note(Event.ABANDONED, why)
             self._trace(live, why)
-            self._handle(api.ClientGone(live.id))
+            self._handle(RequestAbandoned(live.id))
 
     def _drop(self, live: Live) -> bool:
         """Forget a request, if it is still owed: whoever gets True has its one answer to give."""
@@ -259,11 +280,11 @@
             self.counts.note(Event.ANSWERED, "504")
             self._trace(live, "answered 504")
             live.requester.answer(Reply(504, b"no answer in time"))
-            self._handle(api.ClientGone(live.id))
+            self._handle(RequestAbandoned(live.id))
 
     # The module
 
-    def _handle(self, event: api.Event) -> None:
+    def _handle(self, event: PolicyEvent) -> None:
         """Give the module an event and do what it says; events raised meanwhile wait their turn."""
         self._events.append(event)
         if self._handling:
@@ -280,38 +301,38 @@
         finally:
             self._handling = False
 
-    def _do(self, action: api.Action) -> None:
+    def _do(self, action: PolicyAction) -> None:
         match action:
-            case api.Send():
+            case SendAttempt():
                 self._send(action)
-            case api.SetTimer():
-                self._loop.call_later(action.delay_ms / 1000.0, self._handle, api.TimerFired(action.token))
-            case api.Fail():
+            case SetTimer():
+                self._loop.call_later(action.delay_ms / 1000.0, self._handle, TimerFired(action.token))
+            case FailRequest():
                 self._finish(action.id, Reply(502, b"failed"))
-            case api.Refuse():
+            case RejectRequest():
                 advice_s = action.retry_after_ms / 1000.0 or None  # 0: the module gives none
                 self._finish(action.id, Reply(503, b"refused", retry_after_s=advice_s))
-            case api.Cancel():
+            case CancelAttempt():
                 attempt = self._attempts.get((action.id, action.attempt))
                 if attempt is not None:
-                    attempt.break_off(Result.CANCELLED)
-            case api.CloseIdle():
+                    attempt.break_off(Outcome.CANCELLED)
+            case CloseIdleConnections():
                 self._upstream.close_idle(action.server)
-            case api.Subscribe():
+            case Subscribe():
                 self._discovery.subscribe()
-            case api.Log():
+            case WriteLog():
                 log.info("%s", action.text)
 
     # Attempts
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: SendAttempt) -> None:
         live, server, sent_ms = self._live.get(action.id), action.server, now_ms()
         address, latest_ms = self._addresses.get(server), sent_ms + action.within_ms
         refusal = self._refusal(live, server, address, latest_ms)
         if live is None or address is None or refusal is not None:
             number = live.attempts if live is not None else 0
             settled = action.id not in self._live
-            return self._handle(api.AttemptEnded(action.id, number, server, Result.MOOT, 0.0, settled))
+            return self._handle(AttemptEnded(action.id, number, server, Outcome.MOOT, 0.0, settled))
         number = live.attempts
         live.attempts += 1
         # Cut to what is left: an outcome must come before the answer is due.
@@ -328,7 +349,7 @@
             live.sent.write()
             return request_bytes(live.message, address, max(0.0, due_ms - now_ms()))
 
-        def ended(result: Result, answer: Answer | None) -> None:
+        def ended(result: Outcome, answer: Answer | None) -> None:
             self._attempts.pop((action.id, number), None)
             if written:
                 live.sent.end(self._guard.may_have_run(result))
@@ -338,11 +359,11 @@
             live.outcomes.append(
                 f"{result.name} at {address[0]}:{address[1]} from {began_ms:.1f} for {took_ms:.1f}"
             )
-            if result is Result.SERVED and answer is not None:
+            if result is Outcome.SERVED and answer is not None:
                 self._finish(action.id, Reply(200, answer.body, answer.content_type))
             settled = action.id not in self._live
             report = answer.report if answer is not None else None
-            self._handle(api.AttemptEnded(action.id, number, server, result, took_ms, settled, report))
+            self._handle(AttemptEnded(action.id, number, server, result, took_ms, settled, report))
 
         attempt = self._upstream.send(server, address, render, timeout_ms, may_send, ended, action.fresh)
         if not attempt.over:
@@ -371,38 +392,41 @@
         if listing is None and first:
             # What the agent holds counts as told from the process's first moment, so the list that this node
             # last had, perhaps long ago, is for when there is no other.
-            self._take_listing(self._config.known, api.ListKind.SAVED)
+            self._take_listing(self._config.known, UpdateKind.SAVED)
         if listing is not None:
-            self._take_listing(listing, api.ListKind.FULL if listing.whole else api.ListKind.CHANGES)
+            self._take_listing(listing, UpdateKind.FULL if listing.whole else UpdateKind.CHANGES)
             return
         self.counts.note(Event.DISCOVERY, why.partition(":")[0])
         log.info("discovery: %s", why)
         if self._config.settings.follow_list:
-            self._handle(api.ServerList(api.ListKind.FAILED))
+            self._handle(EndpointUpdate(UpdateKind.FAILED))
         else:
             self._loop.call_later(PUSHED_RETRY_S, self._discovery.subscribe)
 
-    def _take_listing(self, listing: Listing, kind: api.ListKind) -> None:
+    def _take_listing(self, listing: Listing, kind: UpdateKind) -> None:
         self._starts.place(listing, now_ms())
         gone = []
-        if kind is not api.ListKind.CHANGES:
+        if kind is not UpdateKind.CHANGES:
             gone = list(self._addresses.keys() - listing.addresses.keys() - listing.unchanged)
             for server in gone:
                 self._forget(server)
         for entry in listing.entries:
-            if entry.health is api.Health.GONE:
+            if entry.health is EndpointState.GONE:
                 self._forget(entry.server)
                 continue
             self._addresses[entry.server] = listing.addresses[entry.server]
-            if entry.health is api.Health.IN_SERVICE:
+            if entry.health is EndpointState.IN_SERVICE:
                 self._in_service.add(entry.server)
             else:
                 self._in_service.discard(entry.server)
         if not listing.unchanged:
-            return self._handle(api.ServerList(kind, listing.index, listing.entries))
+            return self._handle(EndpointUpdate(kind, listing.index, listing.entries))
         # The module hears of a whole list what has changed.
-        entries = [*listing.entries, *(api.ServerEntry(server, health=api.Health.GONE) for server in gone)]
-        self._handle(api.ServerList(api.ListKind.CHANGES, listing.index, entries))
+        entries = [
+            *listing.entries,
+            *(Endpoint(server, health=EndpointState.GONE) for server in gone),
+        ]
+        self._handle(EndpointUpdate(UpdateKind.CHANGES, listing.index, entries))
 
     def _forget(self, server: int) -> None:
         self._in_service.discard(server)
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -9,11 +9,11 @@
 import random
 from collections.abc import Callable
 
-from workspond.policy import interface as api
 from workspond.policy.averages import ClassRecord, UsualDelay
 from workspond.policy.call import Call
 from workspond.policy.fleet import Fleet
 from workspond.policy.retry_controller import RetryController
+from workspond.policy.settings import Settings
 
 WINDOW_SHARE = 0.3  # of the aim: the delay that first sends may reach, by Little's law,
 ADDED = 2.0  # with so many calls a server of this copy's part added, so that copies' windows grow alike
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         controller: RetryController,
         record: ClassRecord,
         fleet: Fleet,
--- a/workspond/policy/averages.py
+++ b/workspond/policy/averages.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from workspond.policy import interface as api
+from workspond.policy.settings import RequestClass
 
 PEER_SAMPLES = 100.0  # answers over which what is usual among all servers is averaged
 
@@ -90,7 +90,7 @@
 class ClassRecord:
     """How each class of requests fares, in averages over so many requests."""
 
-    def __init__(self, classes: Iterable[api.RequestClass], samples: float) -> None:
+    def __init__(self, classes: Iterable[RequestClass], samples: float) -> None:
         self._samples, self.worth = samples, {cls.name: cls.worth for cls in classes}
         self.mix = dict.fromkeys(self.worth, 1.0 / len(self.worth))  # share of the requests
         self.in_time = dict.fromkeys(self.worth, 1.0)  # share answered within the aim
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -10,19 +10,38 @@
 import math
 import random
 
-from workspond.policy import interface as api
+from workspond.policy.actions import (
+    CloseIdleConnections,
+    FailRequest,
+    PolicyAction,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    Subscribe,
+)
 from workspond.policy.admission import Admission
 from workspond.policy.averages import PEER_SAMPLES, ClassRecord, UsualDelay
 from workspond.policy.call import Call
+from workspond.policy.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    NodeStarted,
+    Outcome,
+    PolicyEvent,
+    RequestAbandoned,
+    RequestReceived,
+    TimerFired,
+    UpdateKind,
+)
 from workspond.policy.fleet import Fleet
 from workspond.policy.idle_timeout import IdleLimit
-from workspond.policy.interface import ListKind, Repeat, Result
 from workspond.policy.outlier_ejection import OutlierEjection
 from workspond.policy.request_queue import RequestQueue
 from workspond.policy.retry_controller import SAMPLES, RetryController
 from workspond.policy.retry_policy import RetryPolicy
 from workspond.policy.server import Server
 from workspond.policy.server_selection import ServerSelector
+from workspond.policy.settings import DeduplicationScope, Idempotency, Settings
 from workspond.policy.slow_start import SlowStart
 from workspond.policy.subscription_backoff import wait_before_asking_ms
 from workspond.policy.token_bucket import Bucket
@@ -35,7 +54,7 @@
 class Balancer:
     """One copy's decisions: feed it events, do what it says."""
 
-    def __init__(self, settings: api.Settings, salt: int) -> None:
+    def __init__(self, settings: Settings, salt: int) -> None:
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
         self._rng = random.Random(salt)
@@ -61,29 +80,29 @@
         self._calls: dict[str, Call] = {}
         self._waiting: dict[int, Call] = {}  # by timer token
         self._token = SUBSCRIBE_TOKEN  # that of the last timer
-        self._actions: list[api.Action] = []
+        self._actions: list[PolicyAction] = []
 
-    def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
+    def handle(self, event: PolicyEvent, now_ms: float) -> list[PolicyAction]:
         """Take one event; what to do about it."""
         self._actions = []
         match event:
-            case api.Request():
+            case RequestReceived():
                 self._on_request(event, now_ms)
-            case api.AttemptEnded():
+            case AttemptEnded():
                 self._on_ended(event, now_ms)
-            case api.TimerFired():
+            case TimerFired():
                 self._on_timer(event, now_ms)
-            case api.ServerList():
+            case EndpointUpdate():
                 self._on_list(event, now_ms)
-            case api.ClientGone():
+            case RequestAbandoned():
                 self._calls.pop(event.id, None)
-            case api.Started() if self.settings.follow_list:
-                self._actions.append(api.Subscribe())
+            case NodeStarted() if self.settings.follow_list:
+                self._actions.append(Subscribe())
         return self._actions
 
     # First sends
 
-    def _on_request(self, event: api.Request, now: float) -> None:
+    def _on_request(self, event: RequestReceived, now: float) -> None:
         call = self._calls[event.id] = Call(event, self.classes[event.cls], now)
         self.record.asked(event.cls)
         self.retry_policy.count_request(now)
@@ -142,15 +161,15 @@
             self._selector.apply(self.fleet.grow(now), now)
         call.idle_ms = 0.0 if server.calls else now - server.used_ms
         if self._idle_limit.exceeded(call.idle_ms):  # Rosario fresh-big: sent on a dropped one, it is lost
-            self._actions.append(api.CloseIdle(server.id))
+            self._actions.append(CloseIdleConnections(server.id))
             call.idle_ms = 0.0
         server.calls[call.id] = now, cls.aim_ms
         self._selector.update(server, now)
         measured = self.usual_delay.samples >= SAMPLES
         timeout_ms = self.retry_policy.attempt_timeout_ms(call, left_ms, self.usual_delay.share, measured)
         within_ms = self.retry_policy.repeat_ends_ms(call) - now
-        fresh = cls.repeat is Repeat.UNSAFE  # on a new connection: a loss could not be made good
-        self._actions.append(api.Send(call.id, server.id, timeout_ms, fresh, within_ms))
+        fresh = cls.repeat is Idempotency.UNSAFE  # on a new connection: a loss could not be made good
+        self._actions.append(SendAttempt(call.id, server.id, timeout_ms, fresh, within_ms))
         return True
 
     def _may_send(self, call: Call, server: Server, now: float) -> bool:
@@ -185,21 +204,21 @@
         """The one way to end a request unserved: refused where a repeat is harmless, else failed."""
         if self._calls.pop(call.id, None):
             self.record.ended(call.cls.name, False)
-            everywhere = call.cls.repeat is Repeat.KEYED and call.cls.group is api.Group.ALL
-            repeatable = call.first_run_ms is None or everywhere or call.cls.repeat is Repeat.SAFE
+            everywhere = call.cls.repeat is Idempotency.KEYED and call.cls.group is DeduplicationScope.ALL
+            repeatable = call.first_run_ms is None or everywhere or call.cls.repeat is Idempotency.SAFE
             harmless = not call.out and repeatable
             # It says that the tier bears no more now: a client back in 17 ms, as a retry is, fed the jam.
             advice_ms = self.settings.max_retry_after_ms
-            self._actions.append(api.Refuse(call.id, advice_ms) if harmless else api.Fail(call.id))
+            self._actions.append(RejectRequest(call.id, advice_ms) if harmless else FailRequest(call.id))
 
     def _set_timer(self, call: Call, delay_ms: float) -> None:
         self._token = call.timer_token = self._token + 1
         self._waiting[call.timer_token] = call
-        self._actions.append(api.SetTimer(self._token, delay_ms))
+        self._actions.append(SetTimer(self._token, delay_ms))
 
-    def _on_timer(self, event: api.TimerFired, now: float) -> None:
+    def _on_timer(self, event: TimerFired, now: float) -> None:
         if event.token == SUBSCRIBE_TOKEN:
-            self._actions.append(api.Subscribe())
+            self._actions.append(Subscribe())
         call = self._waiting.pop(event.token, None)
         if call and call.timer_token == event.token and call.id in self._calls:
             if call.queued:
@@ -209,7 +228,7 @@
 
     # Outcomes
 
-    def _on_ended(self, event: api.AttemptEnded, now: float) -> None:
+    def _on_ended(self, event: AttemptEnded, now: float) -> None:
         call, server = self._calls.get(event.id), self.fleet.servers.get(event.server)
         self.inflight -= 1
         if server is not None:
@@ -222,7 +241,7 @@
             self._retry(call, event, now)
         self._release(now)
 
-    def _take_outcome(self, server: Server, call: Call | None, event: api.AttemptEnded, now: float) -> None:
+    def _take_outcome(self, server: Server, call: Call | None, event: AttemptEnded, now: float) -> None:
         # None: sent before the server started anew, or left the list and came back: no news of it.
         sent = server.calls.pop(event.id, None)
         server.used_ms = now
@@ -237,27 +256,27 @@
         self._measure(server, *sent, event, now)
         self._selector.update(server, now)
 
-    def _retry(self, call: Call, event: api.AttemptEnded, now: float) -> None:
+    def _retry(self, call: Call, event: AttemptEnded, now: float) -> None:
         """Try a call again whose attempt has failed, as the loop and the class allow, or end it."""
         call.out = False
         if call.first_run_ms is None and call.last_server and self.retry_policy.may_have_run(event.result):
             call.first_run_ms, call.repeat_group = call.sent_ms, call.last_server.group(call.cls.group)
         if self._rng.random() < self.controller.retry_probability(now):
             # As the paper's timer runs from the send, a time-out has been waited for already.
-            timed_out = event.result is Result.TIMEOUT
+            timed_out = event.result is Outcome.TIMEOUT
             self._wait_or_end(call, now, event.duration_ms if timed_out else 0.0)
         else:
             self._end(call)
 
     def _measure(
-        self, server: Server, sent_ms: float, aim_ms: float, event: api.AttemptEnded, now: float
+        self, server: Server, sent_ms: float, aim_ms: float, event: AttemptEnded, now: float
     ) -> None:
         """What an outcome tells of the delay, also if nobody waits for the answer any more.
 
         Callers that leave early leave what takes long: without theirs, delay and answer rate come out low.
         """
-        if event.result in (Result.SERVED, Result.TIMEOUT):
-            served = event.result is Result.SERVED
+        if event.result in (Outcome.SERVED, Outcome.TIMEOUT):
+            served = event.result is Outcome.SERVED
             self.usual_delay.note(event.duration_ms / aim_ms)
             usual = self.usual_delay.share
             if usual and (served or sent_ms >= server.latest_served_ms):
@@ -265,12 +284,12 @@
             if served:
                 server.latest_served_ms = max(server.latest_served_ms, sent_ms)
             self.controller.answered(event.duration_ms, aim_ms, now, served)
-        elif event.result is Result.REFUSED:  # full is as slow as a server gets
+        elif event.result is Outcome.REFUSED:  # full is as slow as a server gets
             self.controller.answered(aim_ms, aim_ms, now, False)
 
-    def _on_list(self, event: api.ServerList, now: float) -> None:
-        if event.kind is ListKind.FAILED:
+    def _on_list(self, event: EndpointUpdate, now: float) -> None:
+        if event.kind is UpdateKind.FAILED:
             wait_ms = wait_before_asking_ms(self.settings.ask_every_ms, self._rng)
-            return self._actions.append(api.SetTimer(SUBSCRIBE_TOKEN, wait_ms))
+            return self._actions.append(SetTimer(SUBSCRIBE_TOKEN, wait_ms))
         self._selector.apply(self.fleet.apply(event, now), now)
         self._release(now)
--- a/workspond/policy/call.py
+++ b/workspond/policy/call.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from workspond.policy import interface as api
+from workspond.policy.events import RequestReceived
 from workspond.policy.server import Server
+from workspond.policy.settings import RequestClass
 
 
 class Call:
@@ -27,7 +28,7 @@
         "worth_until_ms",
     )
 
-    def __init__(self, event: api.Request, cls: api.RequestClass, now: float) -> None:
+    def __init__(self, event: RequestReceived, cls: RequestClass, now: float) -> None:
         self.id, self.cls = event.id, cls
         self.over_share = False  # beyond its tenant's share
         self.arrived_ms, self.ends_ms = now, now + event.ttl_ms
--- a/workspond/policy/fleet.py
+++ b/workspond/policy/fleet.py
@@ -6,11 +6,12 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-from workspond.policy import interface as api
 from workspond.policy.call import Call
 from workspond.policy.deduplication_groups import GroupIndex
-from workspond.policy.interface import Group, Health, ListKind
+from workspond.policy.endpoint import Endpoint, EndpointState
+from workspond.policy.events import EndpointUpdate, UpdateKind
 from workspond.policy.server import Server
+from workspond.policy.settings import DeduplicationScope, Settings
 from workspond.policy.subset import Subset
 from workspond.policy.token_bucket import Bucket
 
@@ -28,7 +29,7 @@
 class Fleet:
     """All listed servers, and those of them that are this copy's to use."""
 
-    def __init__(self, settings: api.Settings, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._nodes, self._rng = settings.nodes, rng
         self.servers: dict[int, Server] = {}
         self._ready: dict[int, Server] = {}  # those in service that are this copy's to use
@@ -65,10 +66,10 @@
         """Whether a server is still listed as the process that it was."""
         return self.servers.get(server.id) is server
 
-    def apply(self, news: api.ServerList, now: float) -> FleetChange:
+    def apply(self, news: EndpointUpdate, now: float) -> FleetChange:
         """Take changes, or a whole list that replaces the old one."""
         change = FleetChange()
-        if news.kind is not ListKind.CHANGES:
+        if news.kind is not UpdateKind.CHANGES:
             named = {entry.server for entry in news.entries}
             for id in self.servers.keys() - named:
                 self._remove(self.servers[id], change)
@@ -78,9 +79,9 @@
         self._recut(now, change)
         return change
 
-    def _take(self, entry: api.ServerEntry, now: float, change: FleetChange) -> None:
+    def _take(self, entry: Endpoint, now: float, change: FleetChange) -> None:
         server = self.servers.get(entry.server)
-        if entry.health is Health.GONE:
+        if entry.health is EndpointState.GONE:
             if server is not None:
                 self._remove(server, change)
             return
@@ -114,7 +115,7 @@
 
     def draw_repeat_group(self, call: Call, most: int) -> list[Server]:
         """Servers that a call which may have run can still go to, so many at most."""
-        group: Group = call.cls.group
+        group: DeduplicationScope = call.cls.group
         return self._groups.draw((group, call.repeat_group), most, self._rng)
 
     def grow(self, now: float) -> FleetChange:
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -6,7 +6,7 @@
 import random
 
 from workspond.policy.averages import PEER_SAMPLES
-from workspond.policy.interface import Result
+from workspond.policy.events import Outcome
 from workspond.policy.server import Server
 
 EJECT_MS, EJECT_DOUBLINGS = 1_000.0, 5  # the first time out; how often it doubles
@@ -23,17 +23,17 @@
         self._rng = rng
         self._errors = 0.0  # the share of all recent attempts
 
-    def learn(self, server: Server, result: Result, ejected_share: float, now: float) -> None:
+    def learn(self, server: Server, result: Outcome, ejected_share: float, now: float) -> None:
         """What an outcome tells of the server's health; `ejected_share`: of its peers that are out now."""
-        if result in (Result.REFUSED, Result.UNREACHABLE):
+        if result in (Outcome.REFUSED, Outcome.UNREACHABLE):
             held = min(server.inflight_limit, float(server.inflight))
             server.inflight_limit = max(1.0, held * LIMIT_CUT)
-            if result is Result.UNREACHABLE and not server.inflight:  # down, or out of connections
+            if result is Outcome.UNREACHABLE and not server.inflight:  # down, or out of connections
                 self._eject(server, now)
-        elif result is Result.SERVED:
+        elif result is Outcome.SERVED:
             server.inflight_limit += 1.0 / server.inflight_limit
-        if result in (Result.SERVED, Result.ERROR, Result.RESET):
-            self._weigh(server, result is not Result.SERVED, ejected_share, now)
+        if result in (Outcome.SERVED, Outcome.ERROR, Outcome.RESET):
+            self._weigh(server, result is not Outcome.SERVED, ejected_share, now)
 
     def _weigh(self, server: Server, bad: bool, ejected_share: float, now: float) -> None:
         # Fast errors look like low delay: weigh failing half its calls against failing like its peers.
--- a/workspond/policy/retry_policy.py
+++ b/workspond/policy/retry_policy.py
@@ -9,28 +9,28 @@
 import math
 import random
 
-from workspond.policy import interface as api
 from workspond.policy.averages import SlidingCount
 from workspond.policy.call import Call
-from workspond.policy.interface import Repeat, Result
+from workspond.policy.events import Outcome
+from workspond.policy.settings import Idempotency, Settings
 
 RETRY_WAIT_MS, RETRY_WAIT_SHARE = 500.0, 0.05  # T1, or less by aim
 TIMEOUT_SHARE = 0.95  # of the time left, for an attempt that another may follow
 PATIENT_DELAYS = 8.0  # times its usual delay: the longest that an attempt is waited for,
 FIRST_DELAYS = 4.0  # and that the first is, where another may follow: time enough for it within the aim
 FIRST_SHARE = 1.25  # of the aim by which that one's answer is usual; later it is worth little
-NEVER_RAN = frozenset((Result.REFUSED, Result.UNREACHABLE, Result.MOOT))
+NEVER_RAN = frozenset((Outcome.REFUSED, Outcome.UNREACHABLE, Outcome.MOOT))
 
 
 class RetryPolicy:
     """What the settings allow for each class."""
 
-    def __init__(self, settings: api.Settings, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._settings, self._rng = settings, rng
         # A tick to spare at both edges of the window that the budget of attempts is counted over.
         self._taken = SlidingCount(settings.resend_span_ms - settings.tick_ms)
         self._further = SlidingCount(settings.resend_span_ms + settings.tick_ms)
-        self._never_ran = NEVER_RAN - ({Result.REFUSED} if settings.full_may_have_run else set())
+        self._never_ran = NEVER_RAN - ({Outcome.REFUSED} if settings.full_may_have_run else set())
 
     def count_request(self, now: float) -> None:
         """Count a request for the budget of further attempts."""
@@ -45,7 +45,7 @@
         ratio, taken = self._settings.repeat_ratio, self._taken.count(now)
         return ratio is None or self._further.count(now) + 1 <= self._settings.extra_floor + ratio * taken
 
-    def may_have_run(self, result: Result) -> bool:
+    def may_have_run(self, result: Outcome) -> bool:
         """Whether an attempt that ended so may have run."""
         return result not in self._never_ran
 
@@ -55,9 +55,9 @@
 
     def repeat_ends_ms(self, call: Call) -> float:
         """From when on the call must not go out (again)."""
-        if call.first_run_ms is None or call.cls.repeat is Repeat.SAFE:
+        if call.first_run_ms is None or call.cls.repeat is Idempotency.SAFE:
             return math.inf
-        if call.cls.repeat is Repeat.UNSAFE:
+        if call.cls.repeat is Idempotency.UNSAFE:
             return -math.inf
         return call.first_run_ms + call.cls.window_ms - self._settings.tick_ms
 
@@ -79,7 +79,7 @@
     def attempt_timeout_ms(self, call: Call, left_ms: float, usual_share: float, measured: bool) -> float:
         """How long the attempt that has just been counted is waited for; `measured`: the usual delay is."""
         cls, settings = call.cls, self._settings
-        once = cls.repeat is Repeat.UNSAFE
+        once = cls.repeat is Idempotency.UNSAFE
         last = once or call.attempts == settings.max_attempts
         longest_ms = left_ms if last else TIMEOUT_SHARE * left_ms
         # i2750ee: calls to a lost zone that wait out a whole deadline fill the slots of the tier above.
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -6,8 +6,8 @@
 import random
 from typing import TYPE_CHECKING
 
-from workspond.policy import interface as api
-from workspond.policy.interface import Group, Health
+from workspond.policy.endpoint import Endpoint, EndpointState
+from workspond.policy.settings import DeduplicationScope
 from workspond.policy.token_bucket import Bucket
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
         "zone",
     )
 
-    def __init__(self, entry: api.ServerEntry, now: float, rng: random.Random) -> None:
+    def __init__(self, entry: Endpoint, now: float, rng: random.Random) -> None:
         self.id = entry.server
         self.calls: dict[str, tuple[float, float]] = {}  # when each call out was sent, and its aim
         self.latest_served_ms = -math.inf  # when the latest sent of the calls that it served was sent
@@ -81,17 +81,17 @@
         self.lost, self.ejected = 0, False
         self.due_ms = math.inf  # when it has to be looked at again
 
-    def update(self, entry: api.ServerEntry) -> bool:
+    def update(self, entry: Endpoint) -> bool:
         """Take what the list now says of it; whether anything is new."""
         known = self.zone, self.cell, self.share, self.in_service, self.started_ms
         self._read(entry)
         return known != (self.zone, self.cell, self.share, self.in_service, self.started_ms)
 
-    def _read(self, entry: api.ServerEntry) -> None:
+    def _read(self, entry: Endpoint) -> None:
         self.zone, self.cell, self.share = entry.zone, entry.cell, max(entry.share, 0.0)
-        self.in_service, self.started_ms = entry.health is Health.IN_SERVICE, entry.started_ms
+        self.in_service, self.started_ms = entry.health is EndpointState.IN_SERVICE, entry.started_ms
 
-    def restarted(self, entry: api.ServerEntry) -> bool:
+    def restarted(self, entry: Endpoint) -> bool:
         """Whether the entry tells of a later start than the one known."""
         return entry.started_ms is not None and entry.started_ms > (self.started_ms or -math.inf) + RESTART_MS
 
@@ -160,6 +160,12 @@
             for sent_ms, aim_ms in self.calls.values()
         )
 
-    def group(self, group: Group) -> str | int | None:
+    def group(self, group: DeduplicationScope) -> str | int | None:
         """The group that drops repeats here, as a value to compare; None where all do."""
-        return self.zone if group is Group.ZONE else self.cell if group is Group.CELL else None
+        return (
+            self.zone
+            if group is DeduplicationScope.ZONE
+            else self.cell
+            if group is DeduplicationScope.CELL
+            else None
+        )
--- a/workspond/policy/interface.py
+++ b/workspond/policy/settings.py
@@ -1,18 +1,17 @@
-"""What a node and the decision module say to each other: settings, events and actions.
+"""What a deployment sets for its nodes, and the checks that refuse what cannot be meant.
 
-Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and
-come back unchanged. Nothing here decides anything; `workspond.policy.balancer` ties the decisions together.
+Times are in milliseconds.
 """
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field, fields
-from enum import Enum, IntEnum
+from enum import Enum
 from typing import Any
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """May a request of a class run more than once?"""
 
     SAFE = "safe"  # any number of times
@@ -20,7 +19,7 @@
     UNSAFE = "unsafe"  # never
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which servers drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -28,40 +27,6 @@
     CELL = "cell"
 
 
-class Health(Enum):
-    """What discovery says of a server's process."""
-
-    IN_SERVICE = "in_service"
-    DRAINING = "draining"
-    GONE = "gone"
-
-
-class ListKind(Enum):
-    """What a piece of news from discovery is."""
-
-    CHANGES = "changes"  # only the entries that changed
-    FULL = "full"  # replaces the old list
-    SAVED = "saved"  # the list as the node last had it, perhaps old
-    FAILED = "failed"  # a subscription or call failed or broke; no entries
-
-
-class Result(IntEnum):
-    """How an attempt ended.
-
-    `REFUSED`, `UNREACHABLE` and `MOOT` prove that it never ran, but for `REFUSED` where the settings
-    say so (`full_may_have_run`).
-    """
-
-    SERVED = 0
-    ERROR = 1
-    REFUSED = 2
-    TIMEOUT = 3
-    UNREACHABLE = 4
-    RESET = 5
-    CANCELLED = 6
-    MOOT = 7
-
-
 def vars_of(settings: Any) -> dict[str, Any]:
     """The fields of a dataclass by name."""
     return {f.name: getattr(settings, f.name) for f in fields(settings)}
@@ -76,8 +41,8 @@
     deadline_ms: float  # how long a client waits in all, over all its tries
     worth: float = 1.0
     late_worth: float = 0.0  # share of the worth for an answer between aim and deadline
-    repeat: Repeat = Repeat.UNSAFE
-    group: Group = Group.ALL
+    repeat: Idempotency = Idempotency.UNSAFE
+    group: DeduplicationScope = DeduplicationScope.ALL
     window_ms: float = 0.0
 
 
@@ -159,154 +124,3 @@
         for name, least in (("nodes", 1), ("tiers", 1), ("max_attempts", 1), ("number", 0), ("tier", 0)):
             if getattr(self, name) < least:
                 raise ValueError(f"{name}: {getattr(self, name)} is less than {least}")
-
-
-@dataclass(slots=True)
-class ServerEntry:
-    """One server as discovery lists it."""
-
-    server: int
-    zone: str = ""
-    kind: str = ""
-    cell: int = 0
-    health: Health = Health.IN_SERVICE
-    share: float = 1.0
-    started_ms: float | None = None  # None: long ago
-
-
-# Events: what happens to a node.
-
-
-@dataclass(slots=True)
-class Started:
-    """The node is up."""
-
-
-@dataclass(slots=True)
-class ServerList:
-    """News from discovery."""
-
-    kind: ListKind
-    version: int = 0
-    entries: list[ServerEntry] = field(default_factory=list)
-
-
-@dataclass(slots=True)
-class Request:
-    """The node has accepted a request and owes it one final answer."""
-
-    id: str
-    cls: str
-    ttl_ms: float
-    tenant: str | None = None
-    client_retry: bool = False
-
-
-@dataclass(slots=True)
-class AttemptEnded:
-    """An attempt is over. `settled`: nothing more is owed for the request."""
-
-    id: str
-    attempt: int
-    server: int
-    result: Result
-    duration_ms: float
-    settled: bool
-    report: dict[str, float] | None = None
-
-
-@dataclass(slots=True)
-class StreamStarted:
-    """The answer to an attempt has begun to flow; the request is bound to it."""
-
-    id: str
-    attempt: int
-    server: int
-
-
-@dataclass(slots=True)
-class ClientGone:
-    """Nobody waits for this request any more."""
-
-    id: str
-
-
-@dataclass(slots=True)
-class TimerFired:
-    """A timer has come due."""
-
-    token: int
-
-
-Event = Started | ServerList | Request | AttemptEnded | StreamStarted | ClientGone | TimerFired
-
-# Actions: what the node is asked to do.
-
-
-@dataclass(slots=True)
-class Send:
-    """Start the request's next attempt on a server; give it up after `timeout_ms`.
-
-    `fresh`: on a connection of its own, as one that was kept may be dead without a sign of it, and what
-    is lost on it may have run. `within_ms`: if it has not been written by then it must not be any more (a
-    connection may take its time to come up) and ends as `MOOT`.
-    """
-
-    id: str
-    server: int
-    timeout_ms: float
-    fresh: bool = False
-    within_ms: float = math.inf
-
-
-@dataclass(slots=True)
-class Fail:
-    """End the request with an error; the client is not told whether it ran."""
-
-    id: str
-
-
-@dataclass(slots=True)
-class Refuse:
-    """End the request unserved; the client learns that a retry is harmless."""
-
-    id: str
-    retry_after_ms: float = 0.0
-
-
-@dataclass(slots=True)
-class Cancel:
-    """Call off an attempt."""
-
-    id: str
-    attempt: int
-
-
-@dataclass(slots=True)
-class CloseIdle:
-    """Give back the connections to a server that carry nothing now."""
-
-    server: int
-
-
-@dataclass(slots=True)
-class SetTimer:
-    """Deliver `TimerFired(token)` after `delay_ms`."""
-
-    token: int
-    delay_ms: float
-
-
-@dataclass(slots=True)
-class Subscribe:
-    """Ask discovery for a standing subscription."""
-
-
-@dataclass(slots=True)
-class Log:
-    """A line for the operators."""
-
-    text: str
-
-
-Action = Send | Fail | Refuse | Cancel | CloseIdle | SetTimer | Subscribe | Log
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -7,10 +7,10 @@
 
 import math
 
-from workspond.policy import interface as api
 from workspond.policy.averages import Mean
 from workspond.policy.retry_controller import RATE_WINDOW_MS, RetryController
 from workspond.policy.server import WEIGHT_STEP, Server
+from workspond.policy.settings import Settings
 
 COLD_SHARE = 0.5  # of the stated cold budget that all copies together use
 BUDGET_CHECK_SHARE = 0.7  # of the wait for a budget that is used up: after it there is another look,
@@ -23,7 +23,7 @@
 class SlowStart:
     """How warm servers are, and what cold ones may be sent from here."""
 
-    def __init__(self, settings: api.Settings, controller: RetryController) -> None:
+    def __init__(self, settings: Settings, controller: RetryController) -> None:
         self._settings, self._controller = settings, controller
         self._longest_aim_ms = max(cls.aim_ms for cls in settings.classes)
         # Of the ready servers, what is warm, in the mean over the time that the answer rate is of; and the
--- a/workspond/policy/weighted_round_robin.py
+++ b/workspond/policy/weighted_round_robin.py
@@ -32,7 +32,7 @@
 
     __slots__ = ("base", "group", "rotation", "server")
 
-    def __init__(self, server: Server, group: Group, base: float, rotation: Rotation) -> None:
+    def __init__(self, server: Server, group: GainGroup, base: float, rotation: Rotation) -> None:
         self.server: Server | None = server
         self.group, self.base, self.rotation = group, base, rotation
 
@@ -47,7 +47,7 @@
         return self.group.level.load
 
 
-class Group:
+class GainGroup:
     """Servers of one load and one gain, the one furthest ahead first."""
 
     __slots__ = ("gain", "heap", "level", "members")
@@ -82,7 +82,7 @@
 
     def __init__(self, load: float) -> None:
         self.load = load
-        self.groups: dict[float, Group] = {}  # by gain
+        self.groups: dict[float, GainGroup] = {}  # by gain
         self.rounds = 0
         self.weight = 0.0  # of all members
 
@@ -121,7 +121,7 @@
         gain = rounded(server.weight)
         group = level.groups.get(gain)
         if group is None:
-            group = level.groups[gain] = Group(level, gain)
+            group = level.groups[gain] = GainGroup(level, gain)
         self._stand(server, group, server.credit - group.gained)
         group.members += 1
         level.weight += server.weight
@@ -135,7 +135,7 @@
         else:
             heapq.heappush(self._loads, load)
 
-    def _stand(self, server: Server, group: Group, base: float) -> None:
+    def _stand(self, server: Server, group: GainGroup, base: float) -> None:
         server.place = Place(server, group, base, self)
         heapq.heappush(group.heap, (-base, next(self._serial), server.place))
 
--- a/workspond/settings_reader.py
+++ b/workspond/settings_reader.py
@@ -8,12 +8,20 @@
 import math
 from typing import Any, TypeVar
 
-from workspond.policy import interface as api
+from workspond.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
 
 Json = dict[str, Any]
 
-REPEATS = {"retryable": api.Repeat.SAFE, "dedup": api.Repeat.KEYED, "fragile": api.Repeat.UNSAFE}
-GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
+REPEATS = {
+    "retryable": Idempotency.SAFE,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.UNSAFE,
+}
+GROUPS = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
 KINDS: dict[type | tuple[type, ...], str] = {
     str: "a string",
     bool: "true or false",
@@ -64,29 +72,29 @@
     return values
 
 
-def read_settings(env: Json) -> api.Settings:
+def read_settings(env: Json) -> Settings:
     """Turn the wire's start-up settings into the module's; unknown keys are ignored."""
     classes = [
-        api.RequestClass(
+        RequestClass(
             name=get(c, "name", str),
             aim_ms=get(c, "objective_ms", NUMBER),
             deadline_ms=get(c, "give_up_ms", NUMBER),
             worth=opt(c, "importance", NUMBER, 1.0),
             late_worth=opt(c, "late_worth", NUMBER, 0.0),
             repeat=word(c, "semantics", REPEATS),
-            group=word(c, "dedup_scope", GROUPS) if c.get("semantics") == "dedup" else api.Group.ALL,
+            group=word(c, "dedup_scope", GROUPS) if c.get("semantics") == "dedup" else DeduplicationScope.ALL,
             window_ms=get(c, "window_ms", NUMBER) if c.get("semantics") == "dedup" else 0.0,
         )
         for c in objects(env, "classes")
     ]
     tenants = [
-        api.Tenant(get(t, "name", str), opt(t, "fraction", NUMBER, 0.0), opt(t, "quota_per_s", NUMBER, 0.0))
+        Tenant(get(t, "name", str), opt(t, "fraction", NUMBER, 0.0), opt(t, "quota_per_s", NUMBER, 0.0))
         for t in (objects(env, "tenants") if env.get("tenants") else [])
     ]
     allow, rules = get(env, "permissions", dict), get(env, "rules", dict)
     prices = opt(env, "prices", dict, {})
     worst = opt(opt(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
-    return api.Settings(
+    return Settings(
         classes=classes,
         tenants=tenants,
         over_share_worth=opt(env, "over_share_worth", NUMBER, 1.0),
--- a/workspond/simulator_adapter.py
+++ b/workspond/simulator_adapter.py
@@ -11,36 +11,59 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from workspond.policy import interface as api
+from workspond.policy.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    PolicyAction,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    Subscribe,
+    WriteLog,
+)
 from workspond.policy.balancer import Balancer
+from workspond.policy.endpoint import Endpoint, EndpointState
+from workspond.policy.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    NodeStarted,
+    Outcome,
+    PolicyEvent,
+    RequestAbandoned,
+    RequestReceived,
+    StreamStarted,
+    TimerFired,
+    UpdateKind,
+)
 from workspond.settings_reader import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
 
 HEALTH = {
-    "in_service": api.Health.IN_SERVICE,
-    "terminating": api.Health.DRAINING,
-    "terminated": api.Health.GONE,
+    "in_service": EndpointState.IN_SERVICE,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.GONE,
 }
 FORMS = {
-    "INCREMENTAL": api.ListKind.CHANGES,
-    "FULL": api.ListKind.FULL,
-    "SAVED": api.ListKind.SAVED,
-    "FAILED": api.ListKind.FAILED,
+    "INCREMENTAL": UpdateKind.CHANGES,
+    "FULL": UpdateKind.FULL,
+    "SAVED": UpdateKind.SAVED,
+    "FAILED": UpdateKind.FAILED,
 }
 RESULTS = {
-    100: api.Result.SERVED,
-    301: api.Result.ERROR,
-    302: api.Result.REFUSED,
-    303: api.Result.TIMEOUT,
-    304: api.Result.UNREACHABLE,
-    305: api.Result.RESET,
-    306: api.Result.CANCELLED,
-    307: api.Result.MOOT,
+    100: Outcome.SERVED,
+    301: Outcome.ERROR,
+    302: Outcome.REFUSED,
+    303: Outcome.TIMEOUT,
+    304: Outcome.UNREACHABLE,
+    305: Outcome.RESET,
+    306: Outcome.CANCELLED,
+    307: Outcome.MOOT,
 }
 
 
-def _entries(item: Json) -> list[api.ServerEntry]:
+def _entries(item: Json) -> list[Endpoint]:
     return [
-        api.ServerEntry(
+        Endpoint(
             server=get(e, "server", int),
             zone=opt(e, "failure_domain", str, ""),
             kind=opt(e, "sku", str, ""),
@@ -53,8 +76,8 @@
     ]
 
 
-def _request(item: Json) -> api.Event:
-    return api.Request(
+def _request(item: Json) -> PolicyEvent:
+    return RequestReceived(
         get(item, "request_id", str),
         get(item, "type", str),
         get(item, "ttl_ms", NUMBER),
@@ -71,8 +94,8 @@
     return {name: max(0.0, get(report, name, NUMBER)) for name, value in report.items() if value is not None}
 
 
-def _completed(item: Json) -> api.Event:
-    return api.AttemptEnded(
+def _completed(item: Json) -> PolicyEvent:
+    return AttemptEnded(
         get(item, "request_id", str),
         get(item, "send_no", int),
         get(item, "server", int),
@@ -83,24 +106,24 @@
     )
 
 
-def _streaming(item: Json) -> api.Event:
+def _streaming(item: Json) -> PolicyEvent:
     request, attempt = get(item, "request_id", str), get(item, "send_no", int)
-    return api.StreamStarted(request, attempt, get(item, "server", int))
+    return StreamStarted(request, attempt, get(item, "server", int))
 
 
-READERS: dict[str, Callable[[Json], api.Event]] = {
+READERS: dict[str, Callable[[Json], PolicyEvent]] = {
     "JobIn": _request,
     "Completed": _completed,
-    "Fired": lambda item: api.TimerFired(get(item, "nonce", int)),
-    "ClientGone": lambda item: api.ClientGone(get(item, "request_id", str)),
+    "Fired": lambda item: TimerFired(get(item, "nonce", int)),
+    "ClientGone": lambda item: RequestAbandoned(get(item, "request_id", str)),
     "Streaming": _streaming,
 }
 IGNORED = {"NeighbourSays", "StatusBack"}  # the module neither probes nor talks to peers
 
 
-def _write(node: str, action: api.Action) -> Json:
+def _write(node: str, action: PolicyAction) -> Json:
     match action:
-        case api.Send():
+        case SendAttempt():
             return {
                 "kind": "SubmitTo",
                 "node": node,
@@ -108,24 +131,24 @@
                 "server": action.server,
                 "within_ms": action.timeout_ms,
             }
-        case api.SetTimer():
+        case SetTimer():
             return {"kind": "WakeAt", "node": node, "nonce": action.token, "span_ms": action.delay_ms}
-        case api.Fail():
+        case FailRequest():
             return {"kind": "RespondError", "node": node, "request_id": action.id}
-        case api.Refuse():
+        case RejectRequest():
             return {
                 "kind": "Deny",
                 "node": node,
                 "request_id": action.id,
                 "stay_away_ms": action.retry_after_ms,
             }
-        case api.Cancel():
+        case CancelAttempt():
             return {"kind": "StopAttempt", "node": node, "request_id": action.id, "send_no": action.attempt}
-        case api.CloseIdle():
+        case CloseIdleConnections():
             return {"kind": "FreeLinks", "node": node, "server": action.server}
-        case api.Subscribe():
+        case Subscribe():
             return {"kind": "Track", "node": node, "on": True}
-        case api.Log():
+        case WriteLog():
             return {"kind": "Print", "node": node, "body_text": action.text}
 
 
@@ -134,7 +157,7 @@
 
     def __init__(self) -> None:
         self._nodes: dict[str, Balancer] = {}
-        self._pages: dict[int, list[api.ServerEntry]] = {}
+        self._pages: dict[int, list[Endpoint]] = {}
 
     def batch(self, message: Json) -> Json:
         """Answer one batch."""
@@ -160,7 +183,7 @@
             except ValueError as problem:
                 raise Malformed(f"'env' has impossible settings: {problem}") from None
             self._nodes[name] = Balancer(settings, get(item, "salt", int))
-            event: api.Event = api.Started()
+            event: PolicyEvent = NodeStarted()
         elif name not in self._nodes:
             raise Malformed(f"node {name!r:.40} is not running")
         elif kind == "PowerOff":
@@ -170,7 +193,7 @@
             event = self._view(item)
         elif kind in READERS:
             event = READERS[kind](item)
-            if isinstance(event, api.Request) and event.cls not in self._nodes[name].classes:
+            if isinstance(event, RequestReceived) and event.cls not in self._nodes[name].classes:
                 raise Malformed(f"'type' is {event.cls!r:.40}, which is no class of the settings")
         elif kind in IGNORED:
             return
@@ -179,14 +202,14 @@
         for action in self._nodes[name].handle(event, now):
             actions.append(_write(name, action))
 
-    def _view(self, item: Json) -> api.Event:
+    def _view(self, item: Json) -> PolicyEvent:
         form = word(item, "form", FORMS)
-        if form is api.ListKind.FAILED:
-            return api.ServerList(form)
+        if form is UpdateKind.FAILED:
+            return EndpointUpdate(form)
         bank = get(item, "bank", int)
         if bank not in self._pages:
             raise Malformed(f"'bank' {bank} has had no Page")
-        return api.ServerList(form, get(item, "stamp", int), self._pages[bank])
+        return EndpointUpdate(form, get(item, "stamp", int), self._pages[bank])
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -19,7 +19,7 @@
 
 from workspond.config import Address, now_ms
 from workspond.http.limits import MAX_BODY, MAX_HEAD
-from workspond.policy.interface import Result
+from workspond.policy.events import Outcome
 
 MOST_REPORTED = 1e6  # of any figure in a load report
 IDLE_SHARE = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
@@ -44,7 +44,7 @@
     report: dict[str, float] | None
 
 
-Ended = Callable[[Result, Answer | None], None]
+Ended = Callable[[Outcome, Answer | None], None]
 
 
 class Attempt:
@@ -78,7 +78,7 @@
         """Note what stops the attempt where it is: its dial, or its connection."""
         self._cancel_io = cancel_io
 
-    def end(self, result: Result, answer: Answer | None = None) -> None:
+    def end(self, result: Outcome, answer: Answer | None = None) -> None:
         """Report the outcome, unless one was reported before."""
         if self.over:
             return
@@ -87,7 +87,7 @@
             self._timer.cancel()
         self._ended(result, answer)
 
-    def break_off(self, result: Result) -> None:
+    def break_off(self, result: Outcome) -> None:
         """Stop waiting: closing the connection is what tells the server."""
         if not self.over:
             cancel_io = self._cancel_io
@@ -97,7 +97,7 @@
 
     def timed_out(self) -> None:
         # Not all of it written: the server can't have begun, as it waits for the last byte.
-        self.break_off(Result.TIMEOUT if self.written else Result.UNREACHABLE)
+        self.break_off(Outcome.TIMEOUT if self.written else Outcome.UNREACHABLE)
 
 
 def read_report(text: bytes) -> dict[str, float] | None:
@@ -168,7 +168,7 @@
         if self._complete and not self._spoilt:
             self._answered()
         elif self._spoilt or (not self._in_body and self._head > MAX_HEAD):
-            self._end(Result.ERROR, reuse=False)
+            self._end(Outcome.ERROR, reuse=False)
 
     def eof_received(self) -> None:
         """The server's orderly end: that of an answer with no length; `connection_lost` reports the rest."""
@@ -180,7 +180,7 @@
         self._lost = True
         self._pool.forget(self)
         if self._attempt is not None:
-            self._end(Result.RESET if self._attempt.written else Result.UNREACHABLE, reuse=False)
+            self._end(Outcome.RESET if self._attempt.written else Outcome.UNREACHABLE, reuse=False)
 
     def close(self) -> None:
         """Close now, whatever it carries."""
@@ -218,7 +218,7 @@
         attempt.unread = self.unread
         self._transport.write(attempt.render())
         if self._transport.is_closing():  # the write itself failed
-            self._end(Result.UNREACHABLE, reuse=False)
+            self._end(Outcome.UNREACHABLE, reuse=False)
         else:
             attempt.written = not self._paused
 
@@ -226,13 +226,13 @@
         body = b"".join(self._body)
         answer = Answer(self._status, body, self._type, self._report)
         if self._status == 200:
-            result = Result.SERVED
+            result = Outcome.SERVED
         else:
             refused = self._status in (503, 504) and self._rejected
-            result = Result.REFUSED if refused else Result.ERROR
+            result = Outcome.REFUSED if refused else Outcome.ERROR
         self._end(result, self._keep, answer)
 
-    def _end(self, result: Result, reuse: bool, answer: Answer | None = None) -> None:
+    def _end(self, result: Outcome, reuse: bool, answer: Answer | None = None) -> None:
         attempt, self._attempt = self._attempt, None
         if reuse and not self._paused and self.usable():
             self.reusable_from_ms = now_ms() + REUSE_DELAY_MS
@@ -335,7 +335,7 @@
             return attempt
         if self._room() <= 0 and not self.close_oldest_idle():
             # Our own shortage: it never ran, and says nothing about the server.
-            attempt.end(Result.MOOT)
+            attempt.end(Outcome.MOOT)
             return attempt
         dial = self._loop.create_task(self._dial(attempt, server, address))
         self._dials.add(dial)
@@ -370,7 +370,7 @@
 
     async def _dial(self, attempt: Attempt, server: int, address: Address) -> None:
         connection = Connection(self, server, address)
-        result, kept = Result.UNREACHABLE, False
+        result, kept = Outcome.UNREACHABLE, False
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 await self._loop.create_connection(lambda: connection, *address)
@@ -381,13 +381,13 @@
                 if not attempt.over and attempt.may_send():
                     return connection.carry(attempt)
                 self.put_back(connection)
-                result = Result.MOOT
+                result = Outcome.MOOT
         except OSError as problem:  # a time-out is one too
             if problem.errno in OWN_SHORTAGE:
-                result = Result.MOOT
+                result = Outcome.MOOT
         except Exception:
             log.exception("connecting to a server")
-            result = Result.RESET if attempt.written else Result.UNREACHABLE
+            result = Outcome.RESET if attempt.written else Outcome.UNREACHABLE
         finally:
             if not kept:  # called off or broken: what came up of it belongs to nobody
                 connection.close()
--- a/workspond/upstream/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -12,8 +12,8 @@
 from enum import Enum
 
 from workspond.config import Address, now_ms
-from workspond.policy import interface as api
-from workspond.policy.interface import Repeat, Result
+from workspond.policy.events import Outcome
+from workspond.policy.settings import Idempotency, Settings
 
 log = logging.getLogger("workspond")
 
@@ -58,19 +58,17 @@
 class SendGuard:
     """One gate for all attempts, by the node's own books and not the decision module's."""
 
-    def __init__(
-        self, settings: api.Settings, in_service: Set[int], addresses: Mapping[int, Address]
-    ) -> None:
+    def __init__(self, settings: Settings, in_service: Set[int], addresses: Mapping[int, Address]) -> None:
         """`in_service` and `addresses` are the node's own, as they change."""
         self._settings, self._in_service, self._addresses = settings, in_service, addresses
         self._repeat = {cls.name: cls.repeat for cls in settings.classes}
         self.broken: Counter[Refusal] = Counter()
 
-    def may_have_run(self, result: Result) -> bool:
+    def may_have_run(self, result: Outcome) -> bool:
         """Whether a written attempt that ended so may have run."""
-        if result is Result.REFUSED:
+        if result is Outcome.REFUSED:
             return self._settings.full_may_have_run
-        return result not in (Result.UNREACHABLE, Result.MOOT)
+        return result not in (Outcome.UNREACHABLE, Outcome.MOOT)
 
     def refusal(
         self, id: str, cls: str, attempts: AttemptLog, server: int, address: Address | None, latest_ms: float
@@ -95,6 +93,6 @@
     def _broken_rule(self, cls: str, attempts: AttemptLog) -> Refusal | None:
         if attempts.out and not self._settings.parallel_attempts:
             return Refusal.OVERLAP
-        if attempts.may_have_run and self._repeat[cls] is Repeat.UNSAFE:
+        if attempts.may_have_run and self._repeat[cls] is Idempotency.UNSAFE:
             return Refusal.UNSAFE_REPEAT
         return Refusal.TOO_MANY if attempts.written >= self._settings.max_attempts else None
