--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -80,15 +80,15 @@
     def __init__(self, program: Program, case: Case) -> None:
         api = program.api
         self._api, self._case, self._rng = api, case, random.Random(case.seed)
-        classes = [api.RequestClass("read", AIM_MS, DEADLINE_MS, repeat=api.Idempotency.SAFE)]
+        classes = [api.RequestClass("read", AIM_MS, DEADLINE_MS, idempotency=api.Idempotency.IDEMPOTENT)]
         settings = api.Settings(
             classes=classes,
-            nodes=case.copies,
+            replicas=case.copies,
             max_attempts=3,
             start_capacity=0.2,
             ramp_time_ms=RAMP_MS,
             overload_factor=2.5,
-            overload_for_ms=1500.0,
+            overload_window_ms=1500.0,
         )
         self._balancer = program.balancer(settings, case.seed)
         self._now = 1000.0
@@ -98,7 +98,7 @@
         self._spent_ns = {"request": 0, "outcome": 0}
         self._count = {"request": 0, "outcome": 0}
         self._balancer.handle(api.NodeStarted(), self._now)
-        self._balancer.handle(self._list(api.UpdateKind.FULL, range(case.servers)), self._now)
+        self._balancer.handle(self._list(api.UpdateKind.COMPLETE, range(case.servers)), self._now)
 
     def _list(self, kind: Any, numbers: Any) -> Any:
         return self._api.EndpointUpdate(kind, 1, [self._entry(number) for number in numbers])
@@ -107,15 +107,15 @@
         state, health = self._case.state, self._api.EndpointState
         draining = state is State.DRAINING and number % 2
         share = 0.5 + (number * 37 % 101) / 101.0 if state is State.WEIGHTED else 1.0
-        started_ms = 900.0 if state is State.HALF_COLD and number % 2 else None
+        started_at_ms = 900.0 if state is State.HALF_COLD and number % 2 else None
         # Ids are spread as hashes of names are.
         id = number * 0x9E3779B97F4A7C15 % 2**64
         current = health.DRAINING if draining else health.IN_SERVICE
-        return self._api.Endpoint(id, f"z{number % 5}", "k", number % 7, current, share, started_ms)
+        return self._api.Endpoint(id, f"z{number % 5}", "k", number % 7, current, share, started_at_ms)
 
     def cost(self) -> Cost:
         """Play the case: half as many calls again, untimed, come first."""
-        zones = {self._entry(n).server: n for n in range(self._case.servers)}
+        zones = {self._entry(n).server_id: n for n in range(self._case.servers)}
         warm_up = self._case.calls // 2
         for number in range(warm_up + self._case.calls):
             if number == warm_up:
@@ -123,15 +123,15 @@
             self._advance(self._now + 1000.0 / RATE_PER_S, zones)
             self._calls += 1
             self._handle("request", self._api.RequestReceived(f"r{self._calls}", "read", DEADLINE_MS), zones)
-        change = self._time_lists(self._api.UpdateKind.CHANGES, CHANGES)
-        whole = self._time_lists(self._api.UpdateKind.FULL, WHOLE_LISTS)
+        change = self._time_lists(self._api.UpdateKind.INCREMENTAL, CHANGES)
+        whole = self._time_lists(self._api.UpdateKind.COMPLETE, WHOLE_LISTS)
         per = {what: self._spent_ns[what] / max(1, self._count[what]) / NS_PER_US for what in self._count}
         return Cost(per["request"], per["outcome"], change, whole)
 
     def _time_lists(self, kind: Any, count: int) -> float:
         spent_ns = 0
         for number in range(count):
-            whole = kind is self._api.UpdateKind.FULL
+            whole = kind is self._api.UpdateKind.COMPLETE
             news = self._list(kind, range(self._case.servers) if whole else [number % self._case.servers])
             began_ns = time.process_time_ns()
             self._balancer.handle(news, self._now)
@@ -154,22 +154,24 @@
             self._count[what] += 1
         for action in actions:
             if isinstance(action, self._api.SendAttempt):
-                self._begin(action, zones[action.server])
+                self._begin(action, zones[action.server_id])
             elif isinstance(action, self._api.SetTimer):
                 self._push(action.delay_ms, self._api.TimerFired(action.token))
 
     def _begin(self, send: Any, number: int) -> None:
         result = self._api.Outcome
-        outcome, after_ms = result.SERVED, ANSWER_MS
+        outcome, after_ms = result.SUCCESS, ANSWER_MS
         if self._case.state is State.EJECTED and number % 3 == 0:
-            outcome, after_ms = result.UNREACHABLE, 0.1
+            outcome, after_ms = result.CONNECT_FAILED, 0.1
         elif self._case.state is State.ZONE_GONE and number % 5 == 0:
             outcome, after_ms = result.TIMEOUT, send.timeout_ms
         report = {"queue": float(self._rng.choice(QUEUES))} if self._case.state is State.QUEUES else None
-        attempt = self._attempts.get(send.id, 0)
-        self._attempts[send.id] = attempt + 1
-        settled = outcome is result.SERVED
-        event = self._api.AttemptEnded(send.id, attempt, send.server, outcome, after_ms, settled, report)
+        attempt = self._attempts.get(send.request_id, 0)
+        self._attempts[send.request_id] = attempt + 1
+        settled = outcome is result.SUCCESS
+        event = self._api.AttemptEnded(
+            send.request_id, attempt, send.server_id, outcome, after_ms, settled, report
+        )
         self._push(after_ms, event)
 
     def _push(self, after_ms: float, event: Any) -> None:
--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -105,8 +105,8 @@
         (
             Patch(
                 "workspond/policy/slow_start.py",
-                "if server.started_ms is None or not settings.ramp_time_ms:\n            return 1.0",
-                "return 1.0 if server.started_ms is None else 50.0",
+                "if server.started_at_ms is None or not settings.ramp_time_ms:\n            return 1.0",
+                "return 1.0 if server.started_at_ms is None else 50.0",
             ),
             Patch(
                 SELECTION,
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -56,22 +56,22 @@
 
     def event(self, event: PolicyEvent, now: float) -> None:
         if isinstance(event, RequestReceived):
-            self.taken[event.id] = Taken(self.classes[event.cls], now + event.ttl_ms)
+            self.taken[event.request_id] = Taken(self.classes[event.class_name], now + event.ttl_ms)
             self.taken_at.append(now)
-        elif isinstance(event, AttemptEnded) and event.id in self.taken:
-            request = self.taken[event.id]
-            request.attempts[event.attempt].result = event.result
-            request.over = request.over or event.settled
-        elif isinstance(event, RequestAbandoned) and event.id in self.taken:
-            self.taken[event.id].over = True
+        elif isinstance(event, AttemptEnded) and event.request_id in self.taken:
+            request = self.taken[event.request_id]
+            request.attempts[event.attempt_number].result = event.outcome
+            request.over = request.over or event.request_finished
+        elif isinstance(event, RequestAbandoned) and event.request_id in self.taken:
+            self.taken[event.request_id].over = True
         elif isinstance(event, EndpointUpdate) and event.kind is not UpdateKind.FAILED:
-            listed = {entry.server: entry for entry in event.entries}
+            listed = {entry.server_id: entry for entry in event.endpoints}
             for number in self.known:
-                if event.kind is not UpdateKind.CHANGES and number not in listed:
+                if event.kind is not UpdateKind.INCREMENTAL and number not in listed:
                     self.out_of_service.setdefault(number, now)
             for number, entry in listed.items():
                 self.known[number] = entry
-                if entry.health is EndpointState.IN_SERVICE:
+                if entry.state is EndpointState.IN_SERVICE:
                     self.out_of_service.pop(number, None)
                 else:
                     self.out_of_service.setdefault(number, now)
@@ -80,15 +80,19 @@
         if isinstance(action, SendAttempt):
             self._send(action, now)
         elif isinstance(action, FailRequest | RejectRequest):
-            request = self.taken[action.id]
+            request = self.taken[action.request_id]
             self._need(not request.over, "rule 1: a second final answer")
             late = now > request.deadline + self.settings.answer_slack_ms
             self._need(not late, "rule 1: an answer after the deadline")
             request.over = True
             if isinstance(action, RejectRequest):
                 cls = request.cls
-                everywhere = cls.repeat is Idempotency.KEYED and cls.group is DeduplicationScope.ALL
-                harmless = cls.repeat is Idempotency.SAFE or everywhere or not self._may_have_run(request)
+                everywhere = (
+                    cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
+                )
+                harmless = (
+                    cls.idempotency is Idempotency.IDEMPOTENT or everywhere or not self._may_have_run(request)
+                )
                 self._need(harmless, "rule 2: a refusal of what may have run")
 
     def end(self) -> None:
@@ -96,7 +100,7 @@
         self._need(all(request.over for request in self.taken.values()), "rule 1: a request was lost")
 
     def _send(self, send: SendAttempt, now: float) -> None:
-        request, server = self.taken[send.id], self.known[send.server]
+        request, server = self.taken[send.request_id], self.known[send.server_id]
         cls = request.cls
         self._need(not request.over, "rule 1: a send for what is over")
         self._need(len(request.attempts) < self.settings.max_attempts, "more attempts than allowed")
@@ -106,28 +110,30 @@
             DeduplicationScope.ALL: None,
             DeduplicationScope.ZONE: server.zone,
             DeduplicationScope.CELL: server.cell,
-        }[cls.group]
+        }[cls.deduplication_scope]
         ran = self._may_have_run(request)
         if ran:
-            self._need(cls.repeat is not Idempotency.UNSAFE, "rule 2: an unsafe request sent again")
-        if ran and cls.repeat is Idempotency.KEYED:
+            self._need(
+                cls.idempotency is not Idempotency.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
+            )
+        if ran and cls.idempotency is Idempotency.KEYED:
             self._need(all(attempt.group == group for attempt in ran), "rule 2: another group")
-            self._need(now - ran[0].at <= cls.window_ms, "rule 2: after the window")
-        since = self.out_of_service.get(send.server, now)
+            self._need(now - ran[0].at <= cls.deduplication_window_ms, "rule 2: after the window")
+        since = self.out_of_service.get(send.server_id, now)
         self._need(now - since <= self.settings.drain_grace_ms, "rule 3: sent to a server that drains")
-        if request.attempts and self.settings.repeat_ratio is not None:
-            span = self.settings.resend_span_ms
+        if request.attempts and self.settings.retry_budget_ratio is not None:
+            span = self.settings.retry_budget_window_ms
             self.further_at.append(now)
             further = sum(at >= now - span for at in self.further_at)
             taken = sum(at > now - span for at in self.taken_at)
-            allowed = self.settings.extra_floor + self.settings.repeat_ratio * taken
+            allowed = self.settings.retry_budget_floor + self.settings.retry_budget_ratio * taken
             self._need(further <= allowed, "rule 5: beyond the budget of attempts")
-        request.attempts.append(Attempt(now, send.server, group))
+        request.attempts.append(Attempt(now, send.server_id, group))
 
     def _may_have_run(self, request: Taken) -> list[Attempt]:
-        proofs = {Outcome.UNREACHABLE, Outcome.MOOT}
-        if not self.settings.full_may_have_run:
-            proofs.add(Outcome.REFUSED)  # rule 6
+        proofs = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
+        if not self.settings.rejected_may_have_run:
+            proofs.add(Outcome.REJECTED)  # rule 6
         return [attempt for attempt in request.attempts if attempt.result not in proofs]
 
     @staticmethod
--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -44,7 +44,7 @@
 
 
 def request_class(name: str) -> RequestClass:
-    return RequestClass(name, 400.0, 1200.0, repeat=Idempotency.SAFE)
+    return RequestClass(name, 400.0, 1200.0, idempotency=Idempotency.IDEMPOTENT)
 
 
 USUAL = (Work(request_class("usual"), 1.0, 20.0),)
@@ -72,12 +72,12 @@
 class Machine:
     """A server."""
 
-    started_ms: float  # -inf: long ago
+    started_at_ms: float  # -inf: long ago
     free_ms: float = 0.0
     got: list[tuple[float, float]] = field(default_factory=list)  # when, and what share of mean work
 
     def warmth(self, now: float) -> float:
-        return START + (1.0 - START) * min(1.0, max(0.0, (now - self.started_ms) / RAMP_MS))
+        return START + (1.0 - START) * min(1.0, max(0.0, (now - self.started_at_ms) / RAMP_MS))
 
 
 class Fleet:
@@ -115,15 +115,15 @@
     def _start(self, number: int) -> Balancer:
         settings = Settings(
             classes=[work.cls for work in self.day.classes],
-            nodes=self.copies,
-            number=number,
+            replicas=self.copies,
+            replica_index=number,
             tier=self.day.tier,
             tiers=3,
             max_attempts=3,
             start_capacity=START,
             ramp_time_ms=RAMP_MS,
             overload_factor=FACTOR,
-            overload_for_ms=SPAN_MS,
+            overload_window_ms=SPAN_MS,
             tick_ms=1.0,
         )
         node = Balancer(settings, self._rng.getrandbits(32))
@@ -133,12 +133,12 @@
 
     def _list(self, told: bool) -> EndpointUpdate:
         def entry(id: int, machine: Machine) -> Endpoint:
-            started = machine.started_ms if told and machine.started_ms > -math.inf else None
-            return Endpoint(id, "z", "k", id % 2, started_ms=started)
+            started = machine.started_at_ms if told and machine.started_at_ms > -math.inf else None
+            return Endpoint(id, "z", "k", id % 2, started_at_ms=started)
 
         old = self.day.again or not self.day.warm
         listed = {id: m for id, m in self._machines.items() if told or old or id < self.day.warm}
-        return EndpointUpdate(UpdateKind.FULL, 1, [entry(id, m) for id, m in listed.items()])
+        return EndpointUpdate(UpdateKind.COMPLETE, 1, [entry(id, m) for id, m in listed.items()])
 
     def _cold_start(self) -> None:
         for n in range(self.day.cold):
@@ -178,27 +178,29 @@
                 self._at(self._now + action.delay_ms, partial(self._do, number, node, fired))
 
     def _send(self, number: int, node: Balancer, send: SendAttempt) -> None:
-        attempt, work_ms = self._sent[number, send.id]
-        self._sent[number, send.id] = attempt + 1, work_ms
-        machine, sent_ms = self._machines[send.server], self._now
+        attempt, work_ms = self._sent[number, send.request_id]
+        self._sent[number, send.request_id] = attempt + 1, work_ms
+        machine, sent_at_ms = self._machines[send.server_id], self._now
         # What copies send that have not been told breaks no rule, and is not counted.
-        if machine.started_ms > -math.inf and self._told[number]:
+        if machine.started_at_ms > -math.inf and self._told[number]:
             machine.got.append((self._now, work_ms / self._mean_ms))
         begins = max(self._now + HOP_MS, machine.free_ms)
         machine.free_ms = begins + work_ms / machine.warmth(begins)
-        result, ends = Outcome.SERVED, machine.free_ms + HOP_MS
+        result, ends = Outcome.SUCCESS, machine.free_ms + HOP_MS
         if ends > self._now + send.timeout_ms:
             result, ends = Outcome.TIMEOUT, self._now + send.timeout_ms
 
         def ended() -> None:
-            settled = result is Outcome.SERVED
-            event = AttemptEnded(send.id, attempt, send.server, result, ends - sent_ms, settled)
+            request_finished = result is Outcome.SUCCESS
+            event = AttemptEnded(
+                send.request_id, attempt, send.server_id, result, ends - sent_at_ms, request_finished
+            )
             self._do(number, node, event)
 
         self._at(ends, ended)
 
     def _cold(self) -> list[Machine]:
-        return [machine for machine in self._machines.values() if machine.started_ms > -math.inf]
+        return [machine for machine in self._machines.values() if machine.started_at_ms > -math.inf]
 
     def worst(self) -> float:
         """The most that a cold server got in any window, as a share of what it is allowed there."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.known_red import BadKnownRed, load_known_failures
+from tests.known_red import KnownRedError, load_known_failures
 from workspond.upstream import connection_pool as upstream
 
 
@@ -18,7 +18,7 @@
     """Let exactly the tests that KNOWN-RED.txt lists fail; one of them that passes is an error."""
     try:
         listed = {failure.test: failure for failure in load_known_failures()}
-    except BadKnownRed as problem:
+    except KnownRedError as problem:
         raise pytest.UsageError(str(problem)) from None
     for item in items:
         if item.nodeid in listed:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -19,7 +19,7 @@
 )
 from workspond.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-SAFE = RequestClass("safe", 1000.0, 3000.0, 1.0, repeat=Idempotency.SAFE)
+SAFE = RequestClass("safe", 1000.0, 3000.0, 1.0, idempotency=Idempotency.IDEMPOTENT)
 KEYED = RequestClass("keyed", 1000.0, 3000.0, 2.0, 0.0, Idempotency.KEYED, DeduplicationScope.CELL, 2000.0)
 KEYED_ALL = RequestClass(
     "keyed_all", 1000.0, 3000.0, 2.0, 0.0, Idempotency.KEYED, DeduplicationScope.ALL, 2000.0
@@ -34,7 +34,7 @@
         "start_capacity": 0.25,
         "ramp_time_ms": 8000.0,
         "overload_factor": 3.0,
-        "overload_for_ms": 1000.0,
+        "overload_window_ms": 1000.0,
         "drain_grace_ms": 500.0,
         "answer_slack_ms": 20.0,
         "tick_ms": 5.0,
@@ -63,14 +63,14 @@
         for action in actions:
             self.log.append((self.now, action))
             if isinstance(action, SendAttempt):
-                self.sent.setdefault(action.id, []).append(action.server)
+                self.sent.setdefault(action.request_id, []).append(action.server_id)
         return actions
 
     def list_all(self, servers: list[Endpoint], version: int = 1) -> list[PolicyAction]:
-        return self.do(EndpointUpdate(UpdateKind.FULL, version, servers))
+        return self.do(EndpointUpdate(UpdateKind.COMPLETE, version, servers))
 
     def change(self, *servers: Endpoint) -> list[PolicyAction]:
-        return self.do(EndpointUpdate(UpdateKind.CHANGES, 2, list(servers)))
+        return self.do(EndpointUpdate(UpdateKind.INCREMENTAL, 2, list(servers)))
 
     def ask(
         self, id: str, cls: str = "safe", ttl_ms: float = 3000.0, tenant: str | None = None
@@ -78,13 +78,13 @@
         return self.do(RequestReceived(id, cls, ttl_ms, tenant))
 
     def end(
-        self, id: str, result: Outcome, after_ms: float = 50.0, settled: bool | None = None
+        self, id: str, result: Outcome, after_ms: float = 50.0, request_finished: bool | None = None
     ) -> list[PolicyAction]:
         """End the last attempt of a request."""
         self.now += after_ms
         number = len(self.sent[id]) - 1
-        settled = result is Outcome.SERVED if settled is None else settled
-        event = AttemptEnded(id, number, self.sent[id][number], result, after_ms, settled)
+        request_finished = result is Outcome.SUCCESS if request_finished is None else request_finished
+        event = AttemptEnded(id, number, self.sent[id][number], result, after_ms, request_finished)
         return self.do(event)
 
     def serve(self, count: int, cls: str = "safe", gap_ms: float = 10.0, delay_ms: float = 50.0) -> list[int]:
@@ -94,7 +94,7 @@
             id = f"serve-{self.now}-{n}"
             self.ask(id, cls)
             picked.append(self.sent[id][0])
-            self.end(id, Outcome.SERVED, delay_ms)
+            self.end(id, Outcome.SUCCESS, delay_ms)
             self.now += gap_ms
         return picked
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -13,7 +13,7 @@
 MOST_LISTED = 3
 
 
-class BadKnownRed(Exception):
+class KnownRedError(Exception):
     """A list that can't be used; the text says in one line why."""
 
 
@@ -33,10 +33,10 @@
             continue
         test, separator, cause = line.partition(": ")
         if not separator or "issue" not in cause:
-            raise BadKnownRed(f"KNOWN-RED.txt: not of the form 'test id: cause, issue N': {line:.80}")
+            raise KnownRedError(f"KNOWN-RED.txt: not of the form 'test id: cause, issue N': {line:.80}")
         failures.append(KnownFailure(test.strip(), cause.strip()))
     if len(failures) > MOST_LISTED:
-        raise BadKnownRed(f"KNOWN-RED.txt lists {len(failures)} tests; {MOST_LISTED} at most may fail")
+        raise KnownRedError(f"KNOWN-RED.txt lists {len(failures)} tests; {MOST_LISTED} at most may fail")
     return failures
 
 
--- a/tests/plain_selection.py
+++ b/tests/plain_selection.py
@@ -36,7 +36,7 @@
 
     def pick(self, call: Call, now: float) -> Server | None:
         """The pick, once the walk has confirmed it."""
-        if call.first_run_ms is not None:
+        if call.first_possible_run_at_ms is not None:
             return super().pick(call, now)
         self.refresh(now)
         candidates = self._walk(call, now)
@@ -65,8 +65,8 @@
                 continue
             weight = server.part * warmth * server.speed(now, usual)
             # That of a busy server follows the usual delay, which jumps on such days; it is looked at soon.
-            settled = math.isclose(server.weight, weight, rel_tol=STALE) or weight < 2e-3 * server.part
-            assert server.calls or settled
+            unchanged = math.isclose(server.weight, weight, rel_tol=STALE) or weight < 2e-3 * server.part
+            assert server.calls or unchanged
             if server.inflight < server.inflight_limit:
                 ready.append(server)
         found = [server for server in ready if now >= server.ejected_until_ms] or ready
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -43,7 +43,7 @@
 
 def test_first_sends_follow_weights() -> None:
     node = Node(servers=0)
-    node.list_all([Endpoint(1, share=3.0), Endpoint(2, share=1.0)])
+    node.list_all([Endpoint(1, weight=3.0), Endpoint(2, weight=1.0)])
     picked = node.serve(40)
     assert picked.count(1) == pytest.approx(30, abs=1)
 
@@ -54,7 +54,7 @@
     [timer] = timers(node.end("a", Outcome.ERROR))
     assert timer.delay_ms > 0
     [send] = sends(node.do(TimerFired(timer.token), timer.delay_ms))
-    assert send.server != node.sent["a"][0]
+    assert send.server_id != node.sent["a"][0]
 
 
 def test_back_off_doubles_with_jitter() -> None:
@@ -108,7 +108,7 @@
 def test_rule_2_unsafe_is_repeated_when_it_never_ran() -> None:
     node = Node()
     node.ask("a", "unsafe")
-    [timer] = timers(node.end("a", Outcome.REFUSED))
+    [timer] = timers(node.end("a", Outcome.REJECTED))
     assert sends(node.do(TimerFired(timer.token), timer.delay_ms))
 
 
@@ -118,7 +118,7 @@
         node.ask("a", "keyed")
         [timer] = timers(node.end("a", Outcome.ERROR))
         [send] = sends(node.do(TimerFired(timer.token), timer.delay_ms))
-        assert send.server % 2 == node.sent["a"][0] % 2
+        assert send.server_id % 2 == node.sent["a"][0] % 2
 
 
 def test_rule_2_keyed_is_not_sent_after_its_window() -> None:
@@ -130,7 +130,7 @@
 
 def test_rule_3_a_draining_server_gets_nothing() -> None:
     node = Node(servers=2)
-    node.change(Endpoint(0, health=EndpointState.DRAINING))
+    node.change(Endpoint(0, state=EndpointState.DRAINING))
     assert set(node.serve(10)) == {1}
 
 
@@ -149,13 +149,13 @@
 def test_a_failed_subscription_is_asked_for_again_with_jitter() -> None:
     delays = set()
     for salt in range(5):
-        node = Node(salt=salt, follow_list=True)
+        node = Node(salt=salt, requires_subscription=True)
         assert Subscribe() in [a for _, a in node.log]
         [timer] = timers(node.do(EndpointUpdate(UpdateKind.FAILED)))
         delays.add(timer.delay_ms)
         assert node.do(TimerFired(timer.token), timer.delay_ms) == [Subscribe()]
-        assert timer.delay_ms < node.balancer.settings.ask_every_ms / 4
-        seldom = Node(salt=salt, follow_list=True, ask_every_ms=60_000.0)
+        assert timer.delay_ms < node.balancer.settings.poll_interval_ms / 4
+        seldom = Node(salt=salt, requires_subscription=True, poll_interval_ms=60_000.0)
         [timer] = timers(seldom.do(EndpointUpdate(UpdateKind.FAILED)))
         assert timer.delay_ms <= ASK_LONGEST_MS  # the sum of waits counts on it
     assert len(delays) == 5
@@ -164,7 +164,7 @@
 def test_rule_4_a_cold_server_gets_its_part_only() -> None:
     node = Node(servers=4)
     node.serve(200)
-    node.change(Endpoint(9, started_ms=node.now))
+    node.change(Endpoint(9, started_at_ms=node.now))
     picked = node.serve(100)  # 6 seconds, most of the ramp from a quarter to the full
     assert 0 < picked.count(9) < 100 / 5
 
@@ -173,20 +173,22 @@
     """Its limit, its time out and its cold budget, full in every copy at once, were the old process's."""
     node = Node(servers=2)
     node.serve(200)
-    node.change(Endpoint(1, "z", "k", 1, started_ms=node.now - 5000.0))
+    node.change(Endpoint(1, "z", "k", 1, started_at_ms=node.now - 5000.0))
     for n in range(40):  # it goes down: what is out there breaks, nothing connects
         node.ask(f"down-{n}", "unsafe")
-        node.end(f"down-{n}", Outcome.UNREACHABLE if node.sent[f"down-{n}"][0] == 1 else Outcome.SERVED, 5.0)
+        node.end(
+            f"down-{n}", Outcome.CONNECT_FAILED if node.sent[f"down-{n}"][0] == 1 else Outcome.SUCCESS, 5.0
+        )
     old = node.balancer.fleet.servers[1]
     assert old.inflight_limit < math.inf and old.ejected_until_ms > node.now and old.budget.tokens >= 1.0
     while "late" not in node.sent or node.sent["late"][-1] != 1:
         old.ejected_until_ms, node.sent["late"] = -math.inf, []
         node.ask("late")
         if node.sent["late"][-1] != 1:
-            node.end("late", Outcome.SERVED, 5.0)
-    node.change(Endpoint(1, "z", "k", 1, started_ms=old.started_ms and old.started_ms + 50.0))
+            node.end("late", Outcome.SUCCESS, 5.0)
+    node.change(Endpoint(1, "z", "k", 1, started_at_ms=old.started_at_ms and old.started_at_ms + 50.0))
     assert node.balancer.fleet.servers[1] is old  # the same start, read by another clock
-    node.change(Endpoint(1, "z", "k", 1, started_ms=node.now))
+    node.change(Endpoint(1, "z", "k", 1, started_at_ms=node.now))
     new = node.balancer.fleet.servers[1]
     assert (new.inflight_limit, new.ejections, new.slowness, new.inflight) == (math.inf, 0, 1.0, 0)
     assert new.budget.tokens < 1.0
@@ -198,20 +200,20 @@
     """It guessed what they bear from its answers, had none, and sent nothing until they were warm."""
     node = Node(servers=0, tier=1)
     start = node.now
-    node.list_all([Endpoint(n, started_ms=start) for n in range(4)])
+    node.list_all([Endpoint(n, started_at_ms=start) for n in range(4)])
     served = 0
     for n in range(400):  # 4 s, half of the ramp
         node.ask(f"{n}")
         if f"{n}" in node.sent:
             served += 1
-            node.end(f"{n}", Outcome.SERVED, 5.0)
+            node.end(f"{n}", Outcome.SUCCESS, 5.0)
         node.now = start + 10.0 * n
     assert 4 <= served <= 4 * 0.5 * 3.0 * 4 * 100  # of what the settings allow, were each to serve in no time
 
 
 def test_a_server_with_an_old_start_is_warm() -> None:
     node = Node(servers=0)
-    node.list_all([Endpoint(1), Endpoint(2, started_ms=node.now - 9000.0)])
+    node.list_all([Endpoint(1), Endpoint(2, started_at_ms=node.now - 9000.0)])
     picked = node.serve(40)
     assert picked.count(2) == 20
 
@@ -227,7 +229,7 @@
         if node.sent[f"r{n}"][0] == stuck:
             given += 1
         else:
-            node.end(f"r{n}", Outcome.SERVED)
+            node.end(f"r{n}", Outcome.SUCCESS)
     assert given <= 5
 
 
@@ -236,7 +238,7 @@
     for _ in range(200):
         id = f"s{node.now}"
         node.ask(id)
-        node.end(id, Outcome.SERVED, 400.0 if node.sent[id][0] == 0 else 50.0)
+        node.end(id, Outcome.SUCCESS, 400.0 if node.sent[id][0] == 0 else 50.0)
     slow = node.balancer.fleet.servers[0]
     assert slow.speed(node.now, 0.0) < 0.5
     assert node.serve(20, gap_ms=0.0).count(0) <= 2  # a fair part is 5
@@ -251,7 +253,7 @@
         node.ask(f"e{n}", "unsafe")
         failing = node.sent[f"e{n}"][0] == 0
         bad += failing
-        node.end(f"e{n}", Outcome.ERROR if failing else Outcome.SERVED, 20.0)
+        node.end(f"e{n}", Outcome.ERROR if failing else Outcome.SUCCESS, 20.0)
     assert bad <= 4
     node.now += 60_000.0
     assert 0 in node.serve(8)
@@ -271,7 +273,7 @@
     callers = dict.fromkeys(range(60), 0)
     load = dict.fromkeys(callers, 0.0)
     for number in range(40):
-        fleet = Node(60, nodes=40, number=number).balancer.fleet
+        fleet = Node(60, replicas=40, replica_index=number).balancer.fleet
         assert len(fleet.ready) < 30
         assert math.isclose(sum(server.part for server in fleet.ready), SLICES * 60 / 40)
         for server in fleet.ready:
@@ -282,7 +284,7 @@
 
 
 def test_a_hot_caller_takes_more_of_the_fleet() -> None:
-    node = Node(60, nodes=40, tier=1)
+    node = Node(60, replicas=40, tier=1)
     few = len(node.balancer.fleet.ready)
     node.serve(50)
     assert len(node.balancer.fleet.ready) == few
@@ -295,12 +297,12 @@
 
 
 def test_a_pinned_repeat_may_leave_the_copys_part_but_not_the_group() -> None:
-    node = Node(40, nodes=40)
+    node = Node(40, replicas=40)
     own = {server.id for server in node.balancer.fleet.ready}
     node.ask("k", "keyed")
     (first,) = node.sent["k"]
     node.list_all(entries(n for n in range(40) if n == first or n % 2 != first % 2 or n not in own))
-    node.change(*entries([first], health=EndpointState.GONE))
+    node.change(*entries([first], state=EndpointState.REMOVED))
     (timer,) = timers(node.end("k", Outcome.ERROR))
     node.do(TimerFired(timer.token), timer.delay_ms)
     again = node.sent["k"][1]
@@ -325,7 +327,7 @@
 
 
 def test_what_waits_for_room_is_not_sent_once_its_client_has_gone() -> None:
-    node = Node(servers=2, nodes=1)
+    node = Node(servers=2, replicas=1)
     node.serve(30)
     for n in range(60):
         node.ask(f"burst-{n}")
@@ -334,7 +336,7 @@
     for id in waiting:
         node.do(RequestAbandoned(id))
     for id in [id for id in node.sent if id.startswith("burst")]:
-        node.end(id, Outcome.SERVED)
+        node.end(id, Outcome.SUCCESS)
     assert not node.sent.keys() & set(waiting)
 
 
@@ -360,8 +362,8 @@
     n = fill(node)
     while sends(node.ask(f"dear{n}", "unsafe")):  # the last of the window is kept for it
         n += 1
-    sent = [send for k in range(5) for send in sends(node.end(f"fill{k}", Outcome.SERVED, 1.0))]
-    assert sent[0].id == f"dear{n}"
+    sent = [send for k in range(5) for send in sends(node.end(f"fill{k}", Outcome.SUCCESS, 1.0))]
+    assert sent[0].request_id == f"dear{n}"
 
 
 def test_a_dear_class_that_takes_too_long_goes_behind() -> None:
@@ -373,27 +375,27 @@
     node.ask("slow", "keyed_all")
     sent: list[SendAttempt] = []
     for k in range(n):
-        sent += sends(node.end(f"fill{k}", Outcome.SERVED, 1.0))
-    assert next(send.id for send in sent if send.id in (f"fill{n}", "slow")) == f"fill{n}"
+        sent += sends(node.end(f"fill{k}", Outcome.SUCCESS, 1.0))
+    assert next(send.request_id for send in sent if send.request_id in (f"fill{n}", "slow")) == f"fill{n}"
 
 
 def test_the_worst_served_class_is_not_starved_where_that_counts() -> None:
     """pohjola-later rough-1: strict order of worth served 9% of the cheaper class."""
 
-    def first(worst_class: float) -> str:
-        node = Node(servers=2, worst_class=worst_class)
+    def first(worst_class_weight: float) -> str:
+        node = Node(servers=2, worst_class_weight=worst_class_weight)
         node.serve(100)
         node.serve(100, "keyed_all")
         for n in range(20):
             node.ask(f"f{n}")
-            node.end(f"f{n}", Outcome.ERROR, 1.0, settled=False)
+            node.end(f"f{n}", Outcome.ERROR, 1.0, request_finished=False)
             node.do(TimerFired(node.balancer._token), 3000.0)
         n = fill(node)
         node.ask("dear", "keyed_all")
         for k in range(n):
-            sent = sends(node.end(f"fill{k}", Outcome.SERVED, 1.0))
+            sent = sends(node.end(f"fill{k}", Outcome.SUCCESS, 1.0))
             if sent:
-                return sent[0].id
+                return sent[0].request_id
         raise AssertionError("nothing was released")
 
     assert first(0.0) == "dear"
@@ -413,7 +415,7 @@
 
 def test_over_share_tenants_wait_last() -> None:
     tenants = [Tenant("x", 0.5, 5.0), Tenant("y", 0.5, 5.0)]
-    node = Node(servers=2, tenants=tenants, over_share_worth=0.05)
+    node = Node(servers=2, tenants=tenants, over_quota_fraction=0.05)
     node.serve(200)
     n = 0
     while not timers(node.ask(f"b{n}", tenant="x")):
@@ -423,17 +425,17 @@
     node.ask("fair", tenant="y")
     sent: list[SendAttempt] = []
     for k in range(n):
-        sent += sends(node.end(f"b{k}", Outcome.SERVED, 1.0))
+        sent += sends(node.end(f"b{k}", Outcome.SUCCESS, 1.0))
         if sent:
             break
-    assert sent[0].id == "fair"
+    assert sent[0].request_id == "fair"
 
 
 def test_unknown_ids_and_timers_change_nothing() -> None:
     node = Node()
     assert node.do(TimerFired(999)) == []
     assert node.do(RequestAbandoned("nobody")) == []
-    node.do(AttemptEnded("nobody", 0, 0, Outcome.SERVED, 5.0, True))
+    node.do(AttemptEnded("nobody", 0, 0, Outcome.SUCCESS, 5.0, True))
     node.do(AttemptEnded("nobody", 0, 77, Outcome.ERROR, 5.0, True))
     assert math.isfinite(node.balancer.controller.allowed_rate)
 
@@ -442,7 +444,7 @@
     node = Node()
     node.ask("a")
     node.do(StreamStarted("a", 0, node.sent["a"][0]))
-    assert not sends(node.end("a", Outcome.RESET, 50.0, settled=True))
+    assert not sends(node.end("a", Outcome.RESET, 50.0, request_finished=True))
 
 
 def test_a_copy_that_sees_only_failures_goes_on() -> None:
@@ -450,7 +452,7 @@
     node = Node()
     for n in range(40):
         node.ask(f"f{n}")
-        node.end(f"f{n}", Outcome.UNREACHABLE, 100.0)
+        node.end(f"f{n}", Outcome.CONNECT_FAILED, 100.0)
     assert node.balancer.admission.window(4.0, node.now) == START * 4.0
     assert sends(node.ask("later"))
 
@@ -483,11 +485,11 @@
 def test_the_gate_itself_keeps_the_cold_budget() -> None:
     node = Node(servers=4)
     node.serve(200)
-    node.change(Endpoint(9, started_ms=node.now))
+    node.change(Endpoint(9, started_at_ms=node.now))
     passed = 0
     for n in range(60):  # in no time
         node.ask(f"c{n}")
-        node.end(f"c{n}", Outcome.UNREACHABLE, 0.0)
+        node.end(f"c{n}", Outcome.CONNECT_FAILED, 0.0)
         passed += gate(node, f"c{n}", 9)
     assert passed <= 4
 
@@ -495,7 +497,7 @@
 def test_a_cold_server_takes_fewer_turns_than_its_budget_allows() -> None:
     node = Node(servers=4, overload_factor=50.0)
     node.serve(200)
-    node.change(Endpoint(9, started_ms=node.now))
+    node.change(Endpoint(9, started_at_ms=node.now))
     assert node.serve(20).count(9) <= 2
 
 
@@ -504,7 +506,7 @@
     node = Node(servers=4, tier=1, passes_deadline=False)
     (early,) = sends(node.ask("early"))
     assert early.timeout_ms > 2000.0  # nothing is usual yet
-    node.end("early", Outcome.SERVED)
+    node.end("early", Outcome.SUCCESS)
     node.serve(100, delay_ms=50.0)
     (send,) = sends(node.ask("lost"))
     assert 100.0 < send.timeout_ms < 600.0
@@ -533,7 +535,7 @@
     [timer] = timers(node.end("a", Outcome.TIMEOUT, first.timeout_ms))
     assert timer.delay_ms == 0.0
     [second] = sends(node.do(TimerFired(timer.token)))
-    assert second.server != first.server and second.timeout_ms > 1.5 * first.timeout_ms
+    assert second.server_id != first.server_id and second.timeout_ms > 1.5 * first.timeout_ms
     [timer] = timers(node.end("a", Outcome.ERROR, 1.0))
     assert timer.delay_ms > 0.0
 
@@ -569,19 +571,19 @@
     first = list(node.sent)
     assert START * 4 * 0.8 <= len(first) <= START * 4
     for id in first[:10]:
-        node.end(id, Outcome.SERVED, 1.0)
+        node.end(id, Outcome.SUCCESS, 1.0)
     assert len(node.sent) >= len(first) + 18  # each answer lets two out: its own place and one more
 
 
 def test_a_copy_numbered_beyond_their_count_still_has_servers() -> None:
-    node = Node(60, nodes=40, number=57)
+    node = Node(60, replicas=40, replica_index=57)
     assert node.balancer.fleet.ready
     assert sends(node.ask("a"))
 
 
 def test_rule_5_further_attempts_stay_within_the_stated_budget() -> None:
     """Leiden's first score: 4 further attempts where 13 requests taken allow 3.4."""
-    node = Node(8, repeat_ratio=0.1, extra_floor=2.0, resend_span_ms=5000.0)
+    node = Node(8, retry_budget_ratio=0.1, retry_budget_floor=2.0, retry_budget_window_ms=5000.0)
 
     def further(count: int) -> int:
         """So many requests, of which each one's first attempt fails."""
@@ -589,7 +591,7 @@
         for n in range(count):
             id = f"{node.now}-{n}"
             node.ask(id)
-            node.end(id, Outcome.UNREACHABLE, 0.0)
+            node.end(id, Outcome.CONNECT_FAILED, 0.0)
             retries += gate(node, id, n % 8)
         return retries
 
@@ -605,19 +607,19 @@
     node = Node(8)
     for n in range(20):
         node.ask(f"{n}")
-        node.end(f"{n}", Outcome.UNREACHABLE, 0.0)
+        node.end(f"{n}", Outcome.CONNECT_FAILED, 0.0)
         assert gate(node, f"{n}", 1)
 
 
 def test_rule_6_full_is_no_proof_where_so_stated() -> None:
-    node = Node(full_may_have_run=True)
+    node = Node(rejected_may_have_run=True)
     node.ask("a", "unsafe")
-    assert ends(node.end("a", Outcome.REFUSED)) == [FailRequest("a")]
+    assert ends(node.end("a", Outcome.REJECTED)) == [FailRequest("a")]
     node.ask("b", "keyed")
-    node.end("b", Outcome.REFUSED, 10.0)
+    node.end("b", Outcome.REJECTED, 10.0)
     assert not gate(node, "b", 1 - node.sent["b"][0] % 2)  # it stays inside its group
     node.ask("c", "unsafe")
-    assert timers(node.end("c", Outcome.UNREACHABLE))  # that is still a proof
+    assert timers(node.end("c", Outcome.CONNECT_FAILED))  # that is still a proof
 
 
 def test_the_loop_sheds_first_sends_while_the_delay_is_over_the_target() -> None:
@@ -628,7 +630,7 @@
     for n in range(30):
         node.ask(f"slow{n}", "unsafe")
         if node.sent.get(f"slow{n}"):
-            node.end(f"slow{n}", Outcome.SERVED, 900.0)
+            node.end(f"slow{n}", Outcome.SUCCESS, 900.0)
     assert node.balancer.controller.shed_share(node.now) > 0.3
     cheap = sum(bool(sends(node.ask(f"cheap{n}"))) for n in range(100))
     assert cheap < 70  # the class of least value goes first
@@ -644,7 +646,7 @@
     for n in range(20):
         node.ask(f"f{n}", "unsafe")
         if node.sent.get(f"f{n}"):
-            node.end(f"f{n}", Outcome.REFUSED, 5.0)
+            node.end(f"f{n}", Outcome.REJECTED, 5.0)
     assert node.balancer.controller.shed_share(node.now) > 0.0
 
 
@@ -656,7 +658,7 @@
     [stuck] = node.sent["stuck"]
     node.now += 1000.0
     assert stuck not in node.serve(30)
-    node.end("stuck", Outcome.SERVED, 0.0)
+    node.end("stuck", Outcome.SUCCESS, 0.0)
     assert stuck in node.serve(30)
 
 
@@ -670,7 +672,7 @@
     silent = next(n for n in range(8) if node.sent[f"c{n}"] in [node.sent[f"c{m}"] for m in range(n + 1, 8)])
     for n in range(8):
         if n != silent:
-            node.end(f"c{n}", Outcome.SERVED, 5.0)
+            node.end(f"c{n}", Outcome.SUCCESS, 5.0)
     [server] = node.sent[f"c{silent}"]
     node.now += 1000.0
     assert server in node.serve(12)
@@ -685,12 +687,12 @@
     share, answers = node.balancer.usual_delay.share, node.balancer.controller.answers.events
     node.ask("left")
     node.do(RequestAbandoned("left"), 10.0)
-    node.end("left", Outcome.SERVED, 800.0, settled=True)
+    node.end("left", Outcome.SUCCESS, 800.0, request_finished=True)
     assert node.balancer.usual_delay.share > 1.2 * share
     assert node.balancer.controller.answers.events > 0.8 * answers + 0.9
     node.ask("left late")
     node.do(RequestAbandoned("left late"), 10.0)
-    node.end("left late", Outcome.TIMEOUT, 2850.0, settled=True)
+    node.end("left late", Outcome.TIMEOUT, 2850.0, request_finished=True)
     assert node.balancer.fleet.servers[node.sent["left late"][0]].slowness > 2.0
 
 
@@ -702,9 +704,9 @@
     node.ask("after")
     server = node.balancer.fleet.servers[0]
     assert server.inflight == 1
-    node.end("before", Outcome.SERVED)
+    node.end("before", Outcome.SUCCESS)
     assert server.inflight == 1 and node.balancer.inflight == 1
-    node.end("after", Outcome.SERVED)
+    node.end("after", Outcome.SUCCESS)
     assert server.inflight == node.balancer.inflight == 0
 
 
@@ -714,7 +716,7 @@
     node.serve(200)
     node.ask("a")
     [crowded] = node.sent["a"]
-    event = AttemptEnded("a", 0, crowded, Outcome.SERVED, 50.0, True, {"queue": 6.0})
+    event = AttemptEnded("a", 0, crowded, Outcome.SUCCESS, 50.0, True, {"queue": 6.0})
     node.do(event, 50.0)
     assert crowded not in node.serve(20)
     node.now += 60_000.0
@@ -726,7 +728,7 @@
     for cls, result, end in (
         ("safe", Outcome.ERROR, RejectRequest),
         ("keyed_all", Outcome.ERROR, RejectRequest),
-        ("unsafe", Outcome.UNREACHABLE, RejectRequest),
+        ("unsafe", Outcome.CONNECT_FAILED, RejectRequest),
         ("keyed", Outcome.ERROR, FailRequest),
         ("unsafe", Outcome.ERROR, FailRequest),
     ):
@@ -759,14 +761,14 @@
         node.end(f"l{n}", Outcome.TIMEOUT, 500.0)
     actions = idle_send("later")
     assert isinstance(actions[0], CloseIdleConnections) and isinstance(actions[1], SendAttempt)
-    assert actions[0].server == actions[1].server
+    assert actions[0].server_id == actions[1].server_id
 
 
 def test_one_loss_on_an_idle_connection_closes_nothing() -> None:
     """akl big-1: each time-out brought handshakes, which cost servers work."""
     node = Node(servers=1, tier=1)
     node.serve(10)
-    for n, result in enumerate([Outcome.TIMEOUT, Outcome.SERVED, Outcome.TIMEOUT, Outcome.SERVED]):
+    for n, result in enumerate([Outcome.TIMEOUT, Outcome.SUCCESS, Outcome.TIMEOUT, Outcome.SUCCESS]):
         node.now += 3000.0 + 1000.0 * n
         assert not [a for a in node.ask(f"{n}") if isinstance(a, CloseIdleConnections)]
         node.end(f"{n}", result, 500.0)
@@ -786,7 +788,7 @@
     """rota sev8122: one in six connections was gone after 100 ms, and each cost a call its try."""
     node = Node(servers=1)
     node.serve(40)
-    for n, result in enumerate([Outcome.RESET, Outcome.SERVED, Outcome.SERVED, Outcome.RESET]):
+    for n, result in enumerate([Outcome.RESET, Outcome.SUCCESS, Outcome.SUCCESS, Outcome.RESET]):
         node.now += 300.0
         assert not [a for a in node.ask(f"{n}") if isinstance(a, CloseIdleConnections)]
         node.end(f"{n}", result, 0.5)
@@ -806,9 +808,9 @@
 
 def test_a_hot_copy_takes_no_more_slices_than_there_are() -> None:
     """They doubled with each send without end, and the whole fleet was cut anew each time."""
-    settings = Settings([RequestClass("read", 1000.0, 3000.0)], nodes=20, tier=1, tiers=2)
+    settings = Settings([RequestClass("read", 1000.0, 3000.0)], replicas=20, tier=1, tiers=2)
     balancer = Balancer(settings, 1)
-    balancer.handle(EndpointUpdate(UpdateKind.FULL, 1, [Endpoint(n) for n in range(4)]), 0.0)
+    balancer.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(n) for n in range(4)]), 0.0)
     for n in range(200):
         balancer.handle(RequestReceived(f"{n}", "read", 3000.0), float(n))
     assert balancer.inflight == 200
@@ -835,7 +837,7 @@
     assert len({node.sent[f"a{n}"][0] for n in range(4)}) == 4
     [busy] = node.sent["a0"]
     for n in range(1, 4):
-        node.end(f"a{n}", Outcome.SERVED, 1.0)
+        node.end(f"a{n}", Outcome.SUCCESS, 1.0)
     for n in range(3):  # the first of these turns is that of the busy one
         node.ask(f"b{n}")
     assert busy not in [node.sent[f"b{n}"][0] for n in range(3)]
@@ -852,10 +854,12 @@
     assert max(waits) <= 0.1 * 1000.0
 
 
-@pytest.mark.parametrize(("late_worth", "retried"), [(0.0, False), (0.5, True)])
-def test_no_further_attempt_whose_answer_could_only_be_worthless(late_worth: float, retried: bool) -> None:
+@pytest.mark.parametrize(("late_fraction", "retried"), [(0.0, False), (0.5, True)])
+def test_no_further_attempt_whose_answer_could_only_be_worthless(late_fraction: float, retried: bool) -> None:
     # The caller waits for 3 s, but an answer after the aim of 1 s earns nothing where late_worth is 0.
-    cls = RequestClass("read", 1000.0, 3000.0, late_worth=late_worth, repeat=Idempotency.SAFE)
+    cls = RequestClass(
+        "read", 1000.0, 3000.0, late_fraction=late_fraction, idempotency=Idempotency.IDEMPOTENT
+    )
     node = Node(classes=[cls])
     node.serve(60, "read", delay_ms=100.0)
     node.ask("a", "read")
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -12,8 +12,8 @@
 from workspond import node
 from workspond.downstream import connection_states as stages
 from workspond.downstream import frontend
-from workspond.downstream.client_connection import CallerConnection
-from workspond.downstream.connection_states import Stage
+from workspond.downstream.client_connection import ClientConnection
+from workspond.downstream.connection_states import ConnectionState
 
 
 @pytest.fixture
@@ -71,14 +71,14 @@
     run(test())
 
 
-async def slow_reader(scene: World, deaf: socket.socket) -> CallerConnection:
+async def slow_reader(scene: World, deaf: socket.socket) -> ClientConnection:
     """Connect a caller whose socket and the node's own for it hold very little."""
     deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     await asyncio.to_thread(deaf.connect, scene.address)
     assert scene.node is not None
     connections = scene.node.frontend.connections
     await until(lambda: len(connections) == 1)
-    [caller] = connections.of(Stage.NEW)
+    [caller] = connections.of(ConnectionState.NEW)
     own = caller._transport.get_extra_info("socket")
     own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return caller
@@ -102,7 +102,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its connection closes only once all is written; till then its request was sent again and again."""
-    monkeypatch.setitem(stages.LIMITS_S, Stage.LEAVING, 1000.0)
+    monkeypatch.setitem(stages.LIMITS_S, ConnectionState.LEAVING, 1000.0)
 
     async def test() -> None:
         server = Server(answer(200, b"x" * 40_000), usual=HANG)
@@ -124,7 +124,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Nothing is read from it meanwhile, so its end was not seen, and its next request went out."""
-    monkeypatch.setitem(stages.LIMITS_S, Stage.LEAVING, 1000.0)
+    monkeypatch.setitem(stages.LIMITS_S, ConnectionState.LEAVING, 1000.0)
 
     async def test() -> None:
         server = Server(usual=answer(200, b"x" * 65536))
@@ -162,7 +162,9 @@
                     caller.sendall(request("a"))
                     assert (await asyncio.to_thread(caller.recv, 1000)).startswith(b"HTTP/1.1 200")
                 connections = scene.node.frontend.connections
-                await until(lambda: len(connections.of(Stage.IDLE if kept else Stage.NEW)) == 1)
+                await until(
+                    lambda: len(connections.of(ConnectionState.IDLE if kept else ConnectionState.NEW)) == 1
+                )
                 [held] = connections.all()
                 caller.sendall(request("b"))  # the loop has no turn till the await
                 held.time_out()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.peers import Server, World, run, until, world
-from workspond.config import Listing, now_ms, read_listing, server_id
-from workspond.discovery.incarnations import StartTimes
+from workspond.config import EndpointList, now_ms, read_endpoint_list, server_id
+from workspond.discovery.incarnations import IncarnationTracker
 
 HOUR_S = 3600.0
 UP_S = 600.0  # how long all servers have been up
@@ -81,17 +81,17 @@
 PREVIOUS_MS = TOLD_MS - 1000.0  # of the one before it
 
 
-def listing(since_ms: float, previous_ms: float = PREVIOUS_MS) -> Listing:
+def listing(since_ms: float, previous_ms: float = PREVIOUS_MS) -> EndpointList:
     entry = {"name": "s", "address": "127.0.0.1:1", "status": "active", "since_ms": since_ms}
-    made = read_listing({"index": 1, "snapshot": True, "endpoints": [entry]})
-    made.previous_ms = previous_ms
+    made = read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [entry]})
+    made.previous_response_at_ms = previous_ms
     return made
 
 
-def placed(starts: StartTimes, told: Listing, told_ms: float = TOLD_MS) -> float | None:
+def placed(starts: IncarnationTracker, told: EndpointList, told_ms: float = TOLD_MS) -> float | None:
     starts.place(told, told_ms)
-    [entry] = told.entries
-    return entry.started_ms
+    [entry] = told.endpoints
+    return entry.started_at_ms
 
 
 @pytest.mark.parametrize(
@@ -102,12 +102,12 @@
 ) -> None:
     clock = WallClock(monkeypatch)
     clock.offset_s = wrong_s
-    starts = StartTimes()
+    starts = IncarnationTracker()
     assert placed(starts, listing(clock.true_ms())) == first
 
 
 def test_a_start_is_new_only_where_discovery_tells_another_one() -> None:
-    starts = StartTimes()
+    starts = IncarnationTracker()
     assert placed(starts, listing(0)) is None
     assert placed(starts, listing(1000.0, -math.inf)) is not None  # a clock that was set, long ago
     old = placed(starts, listing(1000.0))
@@ -119,9 +119,9 @@
 
 def test_what_is_remembered_of_servers_that_left_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("workspond.discovery.incarnations.MOST_REMEMBERED", 3)
-    starts = StartTimes()
+    starts = IncarnationTracker()
     for n in range(10):
         entry = {"name": f"s{n}", "address": "127.0.0.1:1", "status": "active", "since_ms": 1000.0}
-        starts.place(read_listing({"index": n, "snapshot": False, "endpoints": [entry]}), TOLD_MS)
+        starts.place(read_endpoint_list({"index": n, "snapshot": False, "endpoints": [entry]}), TOLD_MS)
         starts.forget(server_id(f"s{n}"))
     assert len(starts._left) == 3 and not starts._listed
--- a/tests/test_event_counts.py
+++ b/tests/test_event_counts.py
@@ -8,18 +8,18 @@
 import pytest
 
 from tests.peers import RESET, Server, run, world
-from workspond.observability.counters import Event, EventCounts
+from workspond.observability.counters import Event, EventCounters
 
 
 def test_a_line_tells_what_is_new_since_the_last() -> None:
-    counts = EventCounts()
+    counts = EventCounters()
     assert counts.line() == ""
-    counts.note(Event.ATTEMPT, "SERVED")
-    counts.note(Event.ATTEMPT, "SERVED")
+    counts.note(Event.ATTEMPT, "SUCCESS")
+    counts.note(Event.ATTEMPT, "SUCCESS")
     counts.note(Event.ANSWERED, "200")
-    assert counts.line() == "answered[200]=1, attempt[SERVED]=2"
-    counts.note(Event.ATTEMPT, "SERVED")
-    assert counts.line() == "attempt[SERVED]=1" and counts.line() == ""
+    assert counts.line() == "answered[200]=1, attempt[SUCCESS]=2"
+    counts.note(Event.ATTEMPT, "SUCCESS")
+    assert counts.line() == "attempt[SUCCESS]=1" and counts.line() == ""
 
 
 def test_a_node_that_ends_tells_what_it_did(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
@@ -39,7 +39,7 @@
         "answered[200]=1",
         "answered[502]=1",
         "attempt[RESET]=1",
-        "attempt[SERVED]=1",
+        "attempt[SUCCESS]=1",
         "closed[rejected with 400]=1",
     ):
         assert part in line
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -55,7 +55,7 @@
         writer.write(answer())
 
 
-async def settled(scene: World) -> None:
+async def request_finished(scene: World) -> None:
     """Wait until the node holds nothing any more."""
     node = scene.node
     assert node is not None
@@ -75,7 +75,7 @@
             leave(caller)
             time.sleep(BUSY_S)
             assert (await scene.ask("next")).status == 200
-            await settled(scene)
+            await request_finished(scene)
             assert [seen.id for seen in server.seen] == ["before", "next"]
             caller.close()
 
@@ -97,7 +97,7 @@
             sent = len(server.seen)
             leave(caller)
             time.sleep(BUSY_S)
-            await settled(scene)
+            await request_finished(scene)
             assert len(server.seen) == sent
             caller.close()
 
@@ -125,7 +125,7 @@
             leave(caller)
             time.sleep(BUSY_S)
             assert (await first.read()).status == 200
-            await settled(scene)
+            await request_finished(scene)
             assert (await first.ask("next")).status == 200
             assert [seen.id for seen in server.seen] == ["first", "next"]
             caller.close()
@@ -146,7 +146,7 @@
             answer_now(server)
             leave(caller)
             time.sleep(BUSY_S)
-            await settled(scene)
+            await request_finished(scene)
             assert (await scene.ask("next")).status == 200
             assert [seen.id for seen in server.seen] == ["first", "next"]
             caller.close()
@@ -175,7 +175,7 @@
                 leave(caller)
                 time.sleep(BUSY_S)
                 with slow.accept()[0], slow.accept()[0] as dialled:  # the second once it is sent anew, at 1 s
-                    await settled(scene)
+                    await request_finished(scene)
                     dialled.setblocking(False)
                     with contextlib.suppress(BlockingIOError):  # kept for the next request, or
                         assert dialled.recv(1) == b""  # closed
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -97,7 +97,7 @@
         first = Server(usual=answer(500), name="first", group=1)
         async with world(tmp_path, first, known=False) as scene:
             assert scene.node is not None
-            scene.node._balancer.classes["save"].window_ms = window_s * 1000.0
+            scene.node._balancer.classes["save"].deduplication_window_ms = window_s * 1000.0
             scene.registry.whole = [first.entry()]
             await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
             caller = await scene.caller()
--- a/tests/test_listing_reader.py
+++ b/tests/test_listing_reader.py
@@ -11,10 +11,10 @@
 import pytest
 
 from tests.peers import Server, run, until, world
-from workspond.config import Listing, read_listing, server_id
-from workspond.discovery.endpoint_list_reader import ListingReader
+from workspond.config import EndpointList, read_endpoint_list, server_id
+from workspond.discovery.endpoint_list_reader import EndpointListReader
 from workspond.policy.endpoint import Endpoint, EndpointState
-from workspond.settings_reader import Malformed
+from workspond.settings_reader import MalformedInputError
 
 
 def endpoint(number: int, **changes: Any) -> dict[str, Any]:
@@ -40,20 +40,20 @@
     def __init__(self) -> None:
         self.entries: dict[int, Endpoint] = {}
 
-    def take(self, listing: Listing) -> None:
-        if listing.whole:
-            kept = listing.unchanged | {entry.server for entry in listing.entries}
+    def take(self, listing: EndpointList) -> None:
+        if listing.complete:
+            kept = listing.unchanged_ids | {entry.server_id for entry in listing.endpoints}
             self.entries = {id: entry for id, entry in self.entries.items() if id in kept}
-        for entry in listing.entries:
-            if entry.health is EndpointState.GONE:
-                self.entries.pop(entry.server, None)
+        for entry in listing.endpoints:
+            if entry.state is EndpointState.REMOVED:
+                self.entries.pop(entry.server_id, None)
             else:
-                self.entries[entry.server] = entry
+                self.entries[entry.server_id] = entry
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_what_is_known_after_any_lists_is_that_of_lists_read_in_full(seed: int) -> None:
-    rng, reader, by_difference, in_full = Random(seed), ListingReader(), Told(), Told()
+    rng, reader, by_difference, in_full = Random(seed), EndpointListReader(), Told(), Told()
     fleet = {n: endpoint(n) for n in range(30)}
     for _ in range(60):
         changed = rng.sample(range(40), rng.choice((0, 1, 1, 5)))
@@ -69,18 +69,20 @@
             left = [endpoint(n, status="left") for n in gone]
             body = written([fleet[n] for n in changed if n in fleet] + left, snapshot=False)
         by_difference.take(reader.read(body))
-        in_full.take(read_listing(json.loads(body)))
+        in_full.take(read_endpoint_list(json.loads(body)))
         assert by_difference.entries == in_full.entries
 
 
 def test_of_a_list_with_nothing_new_no_entry_is_read() -> None:
-    reader = ListingReader()
+    reader = EndpointListReader()
     body = written([endpoint(n) for n in range(50)])
-    assert len(reader.read(body).entries) == 50
+    assert len(reader.read(body).endpoints) == 50
     again = reader.read(body)
-    assert again.entries == [] and len(again.unchanged) == 50
+    assert again.endpoints == [] and len(again.unchanged_ids) == 50
     changed = reader.read(written([endpoint(n, zone="b" if n == 7 else "a") for n in range(50)]))
-    assert [entry.server for entry in changed.entries] == [server_id("s7")] and len(changed.unchanged) == 49
+    assert [entry.server_id for entry in changed.endpoints] == [server_id("s7")] and len(
+        changed.unchanged_ids
+    ) == 49
 
 
 @pytest.mark.parametrize(
@@ -97,11 +99,11 @@
 )
 @pytest.mark.parametrize("indent", [None, 2])
 def test_lists_of_other_forms_are_read_too(endpoints: list[dict[str, Any]], indent: int | None) -> None:
-    reader, told, expected = ListingReader(), Told(), Told()
+    reader, told, expected = EndpointListReader(), Told(), Told()
     for shown in (endpoints, endpoints, [*endpoints, endpoint(9)]):
         body = written(shown, indent=indent)
         told.take(reader.read(body))
-        expected.take(read_listing(json.loads(body)))
+        expected.take(read_endpoint_list(json.loads(body)))
         assert told.entries == expected.entries
 
 
@@ -120,11 +122,11 @@
     ],
 )
 def test_a_spoilt_list_is_refused_and_changes_nothing(body: bytes) -> None:
-    reader = ListingReader()
+    reader = EndpointListReader()
     reader.read(written([endpoint(n) for n in range(5)]))
-    with pytest.raises((ValueError, Malformed)):
+    with pytest.raises((ValueError, MalformedInputError)):
         reader.read(body)
-    assert len(reader.read(written([endpoint(n) for n in range(5)])).unchanged) == 5
+    assert len(reader.read(written([endpoint(n) for n in range(5)])).unchanged_ids) == 5
 
 
 def test_a_server_that_a_whole_list_does_not_name_is_gone(tmp_path: Path) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -34,7 +34,7 @@
 from workspond.policy.actions import PolicyAction
 from workspond.policy.balancer import Balancer
 from workspond.policy.events import PolicyEvent, RequestReceived
-from workspond.policy.token_bucket import Bucket
+from workspond.policy.token_bucket import TokenBucket
 
 
 def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
@@ -445,9 +445,9 @@
     handle = Balancer.handle
 
     def broken(self: Balancer, event: PolicyEvent, now_ms: float) -> list[PolicyAction]:
-        if isinstance(event, RequestReceived) and event.id == "1":  # the node's own numbers
+        if isinstance(event, RequestReceived) and event.request_id == "1":  # the node's own numbers
             return []
-        if isinstance(event, RequestReceived) and event.id == "2":
+        if isinstance(event, RequestReceived) and event.request_id == "2":
             raise RuntimeError("a fault")
         return handle(self, event, now_ms)
 
@@ -500,7 +500,7 @@
     assert "ERROR at 127.0.0.1:" in line and line.count(";") == 0
 
 
-class Dry(Bucket):
+class Dry(TokenBucket):
     """Into which nothing comes, however slow the machine."""
 
     def refill(self, per_ms: float, most: float, now: float) -> float:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -22,7 +22,7 @@
 from workspond.policy.events import AttemptEnded, EndpointUpdate, Outcome, RequestReceived, UpdateKind
 from workspond.policy.settings import Idempotency, RequestClass, Settings
 from workspond.upstream import connection_pool as upstream
-from workspond.upstream.connection_pool import Answer, Connection, Upstream, read_report
+from workspond.upstream.connection_pool import Connection, ConnectionPool, ServerResponse, read_report
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
@@ -155,14 +155,16 @@
     def __init__(self, address: str, **changes: float) -> None:
         figures = {"connect_timeout_ms": 5000.0, "keepalive_ms": 60_000.0} | changes
         loop = asyncio.get_running_loop()
-        self.upstream = Upstream(loop, figures["connect_timeout_ms"], figures["keepalive_ms"], lambda: 100)
+        self.upstream = ConnectionPool(
+            loop, figures["connect_timeout_ms"], figures["keepalive_ms"], lambda: 100
+        )
         host, port = address.split(":")
         self.address: Address = (host, int(port))
         self.results: list[Outcome] = []
-        self.answers: list[Answer | None] = []
+        self.answers: list[ServerResponse | None] = []
 
     def send(self, id: str, alive: list[bool] | None = None) -> None:
-        def ended(result: Outcome, answer: Answer | None) -> None:
+        def ended(result: Outcome, answer: ServerResponse | None) -> None:
             self.results.append(result)
             self.answers.append(answer)
 
@@ -215,10 +217,10 @@
         server = Blocking(reset=reset)
         attempts = Attempts(server.address)
         attempts.send("a")
-        assert await attempts.result(1) is Outcome.SERVED
+        assert await attempts.result(1) is Outcome.SUCCESS
         server.end_connection()
         attempts.send("b")
-        assert await attempts.result(2) is Outcome.SERVED
+        assert await attempts.result(2) is Outcome.SUCCESS
         assert [b"X-Call-Id: b" in got for got in server.got] == [False, True]
 
     run(test())
@@ -255,7 +257,7 @@
 
             loop.add_reader(inner, busy)
             outer.send(b"x")
-            assert await asyncio.wait_for(ended, LIMIT_S) is Outcome.SERVED
+            assert await asyncio.wait_for(ended, LIMIT_S) is Outcome.SUCCESS
             for peer in (connection, inner, outer):
                 peer.close()
 
@@ -270,12 +272,12 @@
         server = Blocking(reset=True)
         attempts = Attempts(server.address)
         attempts.send("a")
-        assert await attempts.result(1) is Outcome.SERVED
+        assert await attempts.result(1) is Outcome.SUCCESS
         server.end_connection()
         attempts.send("b")
-        assert await attempts.result(2) is Outcome.UNREACHABLE
+        assert await attempts.result(2) is Outcome.CONNECT_FAILED
         attempts.send("c")
-        assert await attempts.result(3) is Outcome.SERVED
+        assert await attempts.result(3) is Outcome.SUCCESS
 
     run(test())
 
@@ -289,9 +291,9 @@
         attempts, alive = Attempts(server.address), [True]
         attempts.send("a", alive)
         alive[0] = False
-        assert await attempts.result(1) is Outcome.MOOT
+        assert await attempts.result(1) is Outcome.NOT_SENT
         attempts.send("b")  # the connection itself is good, and used
-        assert await attempts.result(2) is Outcome.SERVED
+        assert await attempts.result(2) is Outcome.SUCCESS
         assert [seen.id for seen in server.seen] == ["b"]
         assert server.connections == 1
         await server.stop()
@@ -305,7 +307,7 @@
         await server.start()
         attempts = Attempts(server.address, keepalive_ms=400.0)
         attempts.send("a")
-        assert await attempts.result(1) is Outcome.SERVED
+        assert await attempts.result(1) is Outcome.SUCCESS
         await until(lambda: server.lost == 1)
         assert attempts.upstream.count() == 0
         await server.stop()
@@ -357,9 +359,9 @@
         await server.start()
         attempts = Attempts(server.address)
         attempts.send("a")
-        assert await attempts.result(1) is Outcome.SERVED
+        assert await attempts.result(1) is Outcome.SUCCESS
         attempts.send("b")
-        assert await attempts.result(2) is Outcome.SERVED
+        assert await attempts.result(2) is Outcome.SUCCESS
         assert [taken.body for taken in attempts.answers if taken is not None] == [b"for a", b"for b"]
         await until(lambda: attempts.upstream.count() == 1)  # the first goes with what nobody asked for
         await server.stop()
@@ -383,9 +385,9 @@
 @pytest.mark.parametrize(
     ("problem", "result"),
     [
-        (OSError(errno.EMFILE, "too many open files"), Outcome.MOOT),
-        (OSError(errno.ECONNREFUSED, "refused"), Outcome.UNREACHABLE),
-        (RuntimeError("a fault"), Outcome.UNREACHABLE),
+        (OSError(errno.EMFILE, "too many open files"), Outcome.NOT_SENT),
+        (OSError(errno.ECONNREFUSED, "refused"), Outcome.CONNECT_FAILED),
+        (RuntimeError("a fault"), Outcome.CONNECT_FAILED),
     ],
 )
 def test_a_dial_that_fails_ends_its_attempt_and_our_own_shortage_is_not_the_servers(
@@ -409,7 +411,7 @@
         attempts = Attempts(server.address)
         attempts.upstream._room = lambda: 0
         attempts.send("a")
-        assert await attempts.result(1) is Outcome.MOOT and not server.connections
+        assert await attempts.result(1) is Outcome.NOT_SENT and not server.connections
         await server.stop()
 
     run(test())
@@ -443,13 +445,13 @@
     """A queue of 1e300, to the third power, stopped every pick."""
     report = read_report(b"queue=1e300")
     assert report == {"queue": 1e6}
-    settings = Settings([RequestClass("read", 1000.0, 3000.0, repeat=Idempotency.SAFE)])
+    settings = Settings([RequestClass("read", 1000.0, 3000.0, idempotency=Idempotency.IDEMPOTENT)])
     balancer = Balancer(settings, 1)
-    balancer.handle(EndpointUpdate(UpdateKind.FULL, 1, [Endpoint(7)]), 0.0)
+    balancer.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(7)]), 0.0)
     for id in "ab":
         [send] = balancer.handle(RequestReceived(id, "read", 3000.0), 1.0)
         assert isinstance(send, SendAttempt)
-        balancer.handle(AttemptEnded(id, 0, 7, Outcome.SERVED, 5.0, True, report), 6.0)
+        balancer.handle(AttemptEnded(id, 0, 7, Outcome.SUCCESS, 5.0, True, report), 6.0)
 
 
 def test_a_report_that_cannot_be_read_counts_as_none() -> None:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -65,11 +65,11 @@
         started = self.now if self.rng.random() < 0.2 else None
         return Endpoint(number, f"z{number % 2}", "k", number % 3, health, 1.0, started)
 
-    def news(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.FULL) -> None:
-        if kind is UpdateKind.FULL:
+    def news(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.COMPLETE) -> None:
+        if kind is UpdateKind.COMPLETE:
             self.entries = {}
         for entry in entries:
-            self.entries[entry.server] = entry
+            self.entries[entry.server_id] = entry
         self.tell(EndpointUpdate(kind, 1, entries))
 
     def push(self, at: float, what: TimerFired | str) -> None:
@@ -87,20 +87,20 @@
             assert action.delay_ms >= 0.0
             self.push(self.now + action.delay_ms, TimerFired(action.token))
         elif isinstance(action, SendAttempt):
-            self.requests[action.id].attempts.append((self.now, action.server, None))
-            self.sends.append((self.now, action.server))
+            self.requests[action.request_id].attempts.append((self.now, action.server_id, None))
+            self.sends.append((self.now, action.server_id))
         elif isinstance(action, FailRequest | RejectRequest):
-            self.requests[action.id].ends += 1
+            self.requests[action.request_id].ends += 1
 
     def finish(self, id: str, result: Outcome) -> None:
         owed = self.requests[id]
         sent, server, _ = owed.attempts[-1]
         owed.attempts[-1] = (sent, server, result)
-        settled = bool(owed.ends) or result is Outcome.SERVED
-        if result is Outcome.SERVED and not owed.ends:
+        request_finished = bool(owed.ends) or result is Outcome.SUCCESS
+        if result is Outcome.SUCCESS and not owed.ends:
             owed.ends += 1
         number = len(owed.attempts) - 1
-        self.tell(AttemptEnded(id, number, server, result, self.now - sent, settled))
+        self.tell(AttemptEnded(id, number, server, result, self.now - sent, request_finished))
 
     def out(self) -> list[str]:
         return [id for id, owed in self.requests.items() if owed.attempts and owed.attempts[-1][2] is None]
@@ -132,8 +132,10 @@
             self.finish(self.rng.choice(self.out()), self.rng.choices(RESULTS, WEIGHTS)[0])
         elif choice < 0.75:
             number = self.rng.randrange(8)
-            health = self.rng.choice([EndpointState.IN_SERVICE, EndpointState.DRAINING, EndpointState.GONE])
-            self.news([self.entry(number, health)], UpdateKind.CHANGES)
+            health = self.rng.choice(
+                [EndpointState.IN_SERVICE, EndpointState.DRAINING, EndpointState.REMOVED]
+            )
+            self.news([self.entry(number, health)], UpdateKind.INCREMENTAL)
         elif choice < 0.77:
             self.news([self.entry(n) for n in range(8) if self.rng.random() < 0.7])
         elif choice < 0.78:
@@ -142,7 +144,7 @@
             self.pass_time(self.rng.choice([1.0, 5.0, 40.0, 300.0]))
 
 
-BUDGET = {"repeat_ratio": 0.03, "extra_floor": 3.0, "resend_span_ms": 5000.0}
+BUDGET = {"retry_budget_ratio": 0.03, "retry_budget_floor": 3.0, "retry_budget_window_ms": 5000.0}
 
 
 def play(seed: int, **changes: Any) -> World:
@@ -159,7 +161,14 @@
 @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.booleans(), st.booleans())
 def test_rules_hold_on_random_days(seed: int, attempts: int, tier: int, budget: bool, full: bool) -> None:
     extra = BUDGET if budget else {}
-    play(seed, max_attempts=attempts, tier=tier, follow_list=bool(seed % 2), full_may_have_run=full, **extra)
+    play(
+        seed,
+        max_attempts=attempts,
+        tier=tier,
+        requires_subscription=bool(seed % 2),
+        rejected_may_have_run=full,
+        **extra,
+    )
 
 
 def breaks(**changes: Any) -> str:
@@ -174,7 +183,7 @@
 
 def test_the_checker_catches_broken_modules(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each fault is one that a careless change could bring; without a fault nothing is reported."""
-    assert breaks(**BUDGET, full_may_have_run=True) == "none"
+    assert breaks(**BUDGET, rejected_may_have_run=True) == "none"
 
     def always(*_: object) -> bool:
         return True
@@ -194,8 +203,8 @@
     with monkeypatch.context() as patch:
         patch.setattr(
             server_module,
-            "Health",
-            type("AllInService", (), {"IN_SERVICE": EndpointState.DRAINING, "GONE": 0}),
+            "EndpointState",
+            type("AllInService", (), {"IN_SERVICE": EndpointState.DRAINING, "REMOVED": 0}),
         )
         assert breaks(drain_grace_ms=0.0).startswith("rule 3")
 
@@ -207,7 +216,7 @@
 
     with monkeypatch.context() as patch:
         patch.setattr("workspond.policy.balancer.RetryPolicy", TrustsRefusals)
-        assert breaks(full_may_have_run=True).startswith("rule 2")
+        assert breaks(rejected_may_have_run=True).startswith("rule 2")
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -224,12 +233,12 @@
             world.pass_time(gap)
             for other in world.out():
                 if world.now - world.requests[other].attempts[-1][0] >= 30.0:
-                    world.finish(other, Outcome.SERVED)
+                    world.finish(other, Outcome.SUCCESS)
 
     load(20, 10.0, 0)
     rate = 100.0 / 4  # a second, to a warm server
     start = world.now
-    cold = [Endpoint(n, started_ms=start) for n in (8, 9)]
+    cold = [Endpoint(n, started_at_ms=start) for n in (8, 9)]
     world.news([Endpoint(n) for n in range(4)] + cold)
     load(3, 4.0, 1)
     for server in (8, 9):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,7 @@
 
 from tests.peers import HANG, LIMIT_S, Registry, Seen, Server, World, request, run, until, world
 from tests.test_node import Program
-from workspond.config import Listing
+from workspond.config import EndpointList
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
 
@@ -177,7 +177,7 @@
                 failed: list[str] = []
                 on_news = scene.node._discovery._news
 
-                def note(news: Listing | None, why: str) -> None:
+                def note(news: EndpointList | None, why: str) -> None:
                     failed.append(why)
                     on_news(news, why)
 
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -13,7 +13,7 @@
 from workspond.config import now_ms
 from workspond.policy.events import Outcome
 from workspond.policy.retry_policy import RetryPolicy
-from workspond.upstream.send_guard import AttemptLog, Refusal, SendGuard
+from workspond.upstream.send_guard import AttemptHistory, SendGuard, SendRefusal
 
 SERVER, ADDRESS = 7, ("127.0.0.1", 9000)
 
@@ -22,13 +22,15 @@
     return SendGuard(settings(), {SERVER}, {SERVER: ADDRESS})
 
 
-def refusal(of: SendGuard, attempts: AttemptLog, cls: str = "safe", **changes: float) -> Refusal | None:
+def refusal(
+    of: SendGuard, attempts: AttemptHistory, cls: str = "safe", **changes: float
+) -> SendRefusal | None:
     latest_ms = changes.get("latest_ms", math.inf)
     return of.refusal("a", cls, attempts, int(changes.get("server", SERVER)), ADDRESS, latest_ms)
 
 
-def after(result: Outcome) -> AttemptLog:
-    attempts = AttemptLog()
+def after(result: Outcome) -> AttemptHistory:
+    attempts = AttemptHistory()
     attempts.write()
     attempts.end(guard().may_have_run(result))
     return attempts
@@ -36,31 +38,31 @@
 
 def test_what_has_changed_since_a_decision_is_held_back_and_breaks_nothing() -> None:
     of = guard()
-    assert refusal(of, AttemptLog()) is None
-    assert refusal(of, AttemptLog(), server=8) is Refusal.NOT_IN_SERVICE
-    assert refusal(of, AttemptLog(), latest_ms=now_ms() - 1.0) is Refusal.WINDOW_OVER
-    assert of.refusal("a", "safe", AttemptLog(), SERVER, ("127.0.0.1", 1), math.inf) is Refusal.MOVED
+    assert refusal(of, AttemptHistory()) is None
+    assert refusal(of, AttemptHistory(), server=8) is SendRefusal.NOT_IN_SERVICE
+    assert refusal(of, AttemptHistory(), latest_ms=now_ms() - 1.0) is SendRefusal.WINDOW_OVER
+    assert of.refusal("a", "safe", AttemptHistory(), SERVER, ("127.0.0.1", 1), math.inf) is SendRefusal.MOVED
     assert not of.broken
 
 
-@pytest.mark.parametrize("result", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SERVED])
+@pytest.mark.parametrize("result", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SUCCESS])
 def test_an_unsafe_request_that_may_have_run_is_not_written_again(result: Outcome) -> None:
     of = guard()
-    assert refusal(of, after(result), "unsafe") is Refusal.UNSAFE_REPEAT
+    assert refusal(of, after(result), "unsafe") is SendRefusal.UNSAFE_REPEAT
     assert refusal(of, after(result), "safe") is None
-    assert refusal(of, after(Outcome.REFUSED), "unsafe") is None
-    assert of.broken == {Refusal.UNSAFE_REPEAT: 1}
+    assert refusal(of, after(Outcome.REJECTED), "unsafe") is None
+    assert of.broken == {SendRefusal.UNSAFE_REPEAT: 1}
 
 
 def test_two_attempts_at_once_and_too_many_are_counted() -> None:
-    of, attempts = guard(), AttemptLog()
+    of, attempts = guard(), AttemptHistory()
     attempts.write()
-    assert refusal(of, attempts) is Refusal.OVERLAP
+    assert refusal(of, attempts) is SendRefusal.OVERLAP
     for _ in range(settings().max_attempts):
         attempts.end(ran=True)
         attempts.write()
     attempts.end(ran=True)
-    assert refusal(of, attempts) is Refusal.TOO_MANY
+    assert refusal(of, attempts) is SendRefusal.TOO_MANY
     assert of.broken.total() == 2
 
 
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -24,8 +24,8 @@
 from workspond.policy.server import Server
 from workspond.policy.settings import RequestClass, Settings
 from workspond.policy.subset import Subset
-from workspond.policy.token_bucket import Bucket
-from workspond.policy.weighted_round_robin import Level, Place, Rotation
+from workspond.policy.token_bucket import TokenBucket
+from workspond.policy.weighted_round_robin import Level, Rotation, RotationEntry
 
 FEW, MANY = 30, 2000
 CALLS = 150
@@ -44,7 +44,7 @@
     @hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.integers(1, 9))
     def histories(seed: int, attempts: int, tier: int, nodes: int) -> None:
-        play(seed, max_attempts=attempts, tier=tier, nodes=nodes, number=seed % nodes)
+        play(seed, max_attempts=attempts, tier=tier, replicas=nodes, replica_index=seed % nodes)
 
     histories()
     assert checked.checked > 5000
@@ -63,7 +63,7 @@
     return 1.0
 
 
-def ahead_before_the_round(self: Level) -> Place:
+def ahead_before_the_round(self: Level) -> RotationEntry:
     return max((group.leader() for group in self.groups.values()), key=lambda place: place.credit)
 
 
@@ -89,7 +89,7 @@
     monkeypatch.setattr(owner, name, broken)
     with pytest.raises(AssertionError):
         for seed in range(30):
-            play(seed, nodes=7, number=2)
+            play(seed, replicas=7, replica_index=2)
 
 
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -161,7 +161,7 @@
 
 
 def test_a_list_with_nothing_new_looks_at_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    node = Node(servers=200, nodes=8, number=3)
+    node = Node(servers=200, replicas=8, replica_index=3)
     monkeypatch.setattr(Server, "speed", lambda *_: pytest.fail("a server was looked at"))
     node.list_all(entries(range(200)))
 
@@ -175,24 +175,24 @@
         return 1.0
 
     monkeypatch.setattr(Server, "speed", speed)
-    node.change(Endpoint(7, "z", "k", 1, share=2.0))
+    node.change(Endpoint(7, "z", "k", 1, weight=2.0))
     assert set(looked) == {7}
 
 
 def test_a_cold_server_that_is_seldom_looked_at_saves_up_no_more() -> None:
     """What comes into a budget grows with the ramp: a look after a long while took the last rate for all."""
-    often, seldom = Bucket(0.0, 0.0), Bucket(0.0, 0.0)
+    often, seldom = TokenBucket(0.0, 0.0), TokenBucket(0.0, 0.0)
     settings = Settings(
         [RequestClass("read", 100.0, 400.0)],
         start_capacity=0.2,
         ramp_time_ms=8000.0,
         overload_factor=2.5,
-        overload_for_ms=1e6,
+        overload_window_ms=1e6,
     )
     saved = []
     for bucket, step in ((often, 10), (seldom, 2000)):
         node = balancer.Balancer(settings, 1)
-        node.handle(EndpointUpdate(UpdateKind.FULL, 1, [Endpoint(1, started_ms=0.0)]), 0.0)
+        node.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(1, started_at_ms=0.0)]), 0.0)
         server, start = node.fleet.servers[1], node._slow_start
         server.budget = bucket
         for now in range(0, 4001, step):
@@ -222,7 +222,7 @@
     for seed in range(10):
         play(seed, **changes)
     node = Node(servers=0, tier=1, **changes)
-    node.list_all([Endpoint(n, started_ms=node.now) for n in range(3)])
+    node.list_all([Endpoint(n, started_at_ms=node.now) for n in range(3)])
     for n in range(50):
         node.ask(f"{n}")
         node.now += 200.0
@@ -230,7 +230,7 @@
 
 def test_a_server_of_hardly_any_weight_stops_no_pick() -> None:
     node = Node(servers=0)
-    node.list_all([Endpoint(1, share=5e-324), Endpoint(2, share=1.0)])
+    node.list_all([Endpoint(1, weight=5e-324), Endpoint(2, weight=1.0)])
     assert set(node.serve(20)) <= {1, 2}
 
 
@@ -238,7 +238,7 @@
     """Its next look lay most of a wait ahead that had been worked out while hardly any answers came."""
     node = Node(servers=2, ramp_time_ms=60_000.0, start_capacity=0.2, overload_factor=2.5, tier=1)
     node.serve(10, gap_ms=2_000.0)
-    node.change(Endpoint(9, "z", "k", 1, started_ms=node.now))
+    node.change(Endpoint(9, "z", "k", 1, started_at_ms=node.now))
     cold = node.balancer.fleet.servers[9]
     cold.budget.tokens = 0.0
     node.balancer._selector.update(cold, node.now)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,13 +18,13 @@
     [
         ({"classes": []}, "classes"),
         ({"classes": [SAFE, SAFE]}, "classes"),
-        ({"classes": [RequestClass("a", 0.0, 100.0)]}, "aim_ms"),
-        ({"classes": [RequestClass("a", 10.0, 100.0, late_worth=1.5)]}, "late_worth"),
+        ({"classes": [RequestClass("a", 0.0, 100.0)]}, "objective_ms"),
+        ({"classes": [RequestClass("a", 10.0, 100.0, late_fraction=1.5)]}, "late_fraction"),
         ({"tick_ms": -1.0}, "tick_ms"),
         ({"ramp_time_ms": float("nan")}, "ramp_time_ms"),
         ({"start_capacity": 1.1}, "start_capacity"),
-        ({"repeat_ratio": -0.1}, "repeat_ratio"),
-        ({"nodes": 0}, "nodes"),
+        ({"retry_budget_ratio": -0.1}, "retry_budget_ratio"),
+        ({"replicas": 0}, "replicas"),
         ({"tenants": [Tenant("t", 0.5, -1.0)]}, "quota_per_s"),
     ],
 )
@@ -36,12 +36,12 @@
 def test_an_empty_fleet_one_server_zero_weights_and_a_still_clock() -> None:
     empty = Node(servers=0)
     assert not [a for a in empty.ask("a") if isinstance(a, SendAttempt)]
-    for servers in ([Endpoint(1)], entries(range(3), share=0.0)):
+    for servers in ([Endpoint(1)], entries(range(3), weight=0.0)):
         node = Node(servers=0)
         node.list_all(servers)
         for n in range(30):
             node.ask(f"{n}")
             if f"{n}" in node.sent:
-                node.end(f"{n}", [Outcome.SERVED, Outcome.ERROR, Outcome.TIMEOUT][n % 3], 0.0)
-        assert node.sent or not any(s.share for s in servers)
+                node.end(f"{n}", [Outcome.SUCCESS, Outcome.ERROR, Outcome.TIMEOUT][n % 3], 0.0)
+        assert node.sent or not any(s.weight for s in servers)
         assert not ends(node.do(TimerFired(0)))
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -15,7 +15,7 @@
 
 from tests.peers import Server, answer, read_message, run, until, world
 from workspond import node
-from workspond.config import Listing
+from workspond.config import EndpointList
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
 from workspond.policy.subscription_backoff import ASK_LONGEST_MS
@@ -162,7 +162,7 @@
             held, failures, left = scene.node._discovery, list[str](), list(ways)
             on_news = held._news
 
-            def note(news: Listing | None, why: str) -> None:
+            def note(news: EndpointList | None, why: str) -> None:
                 if news is None:
                     failures.append(why)
                     source.fall_to(left.pop(0) if left else None)
--- a/workspond/__main__.py
+++ b/workspond/__main__.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from workspond.config import Address, BadConfig, UnreadableConfig, read_config
+from workspond.config import Address, InvalidConfigError, UnreadableConfigError, read_config
 from workspond.downstream.listener import SHORTAGES
 from workspond.node import Node
 from workspond.observability.log_output import LineWriter, open_standard_descriptors, set_up_logging
@@ -33,7 +33,7 @@
     """Serve until SIGTERM; the exit status."""
     try:
         config = read_config(path)
-    except BadConfig as problem:
+    except InvalidConfigError as problem:
         writer.write(f"workspond: {problem}")
         return 2
     set_up_logging(writer, config.name)
@@ -84,14 +84,14 @@
     """
     try:
         config = read_config(path)
-    except UnreadableConfig as problem:
+    except UnreadableConfigError as problem:
         if not tries_left:
             return log.error("the old configuration stays: %s", problem)
         if tries_left == RELOAD_TRIES:
             log.warning("trying again: %s", problem)
         asyncio.get_running_loop().call_later(RELOAD_EVERY_S, reload, node, path, tries_left - 1)
         return
-    except BadConfig as problem:
+    except InvalidConfigError as problem:
         log.error("the old configuration stays: %s", problem)
         return
     log.info("configuration read again, discovery at %s:%d", *config.discovery)
--- a/workspond/config.py
+++ b/workspond/config.py
@@ -15,7 +15,16 @@
 
 from workspond.policy.endpoint import Endpoint, EndpointState
 from workspond.policy.settings import Settings
-from workspond.settings_reader import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from workspond.settings_reader import (
+    NUMBER,
+    Json,
+    MalformedInputError,
+    get,
+    objects,
+    opt,
+    read_settings,
+    word,
+)
 
 Address = tuple[str, int]
 
@@ -26,29 +35,29 @@
 STATUSES = {
     "active": EndpointState.IN_SERVICE,
     "leaving": EndpointState.DRAINING,
-    "left": EndpointState.GONE,
+    "left": EndpointState.REMOVED,
 }
 
 
-class BadConfig(Exception):
+class InvalidConfigError(Exception):
     """A configuration that no node can be started with."""
 
 
-class UnreadableConfig(BadConfig):
+class UnreadableConfigError(InvalidConfigError):
     """A configuration whose file can't be opened or read now; later it may be."""
 
 
 @dataclass(slots=True)
-class Listing:
+class EndpointList:
     """A list of servers, or the part of it that changed."""
 
     index: int
-    whole: bool
-    entries: list[Endpoint]
+    complete: bool
+    endpoints: list[Endpoint]
     addresses: dict[int, Address]
-    since_ms: dict[int, float]  # when each last started: Unix time in ms, 0 for long ago
-    previous_ms: float = -math.inf  # when the answer before it came, by `now_ms`
-    unchanged: Set[int] = frozenset()  # of a whole list: servers that are named as before, and no entries
+    start_times_ms: dict[int, float]  # when each last started: Unix time in ms, 0 for long ago
+    previous_response_at_ms: float = -math.inf  # when the answer before it came, by `now_ms`
+    unchanged_ids: Set[int] = frozenset()  # of a whole list: servers that are named as before, and no entries
 
 
 @dataclass(slots=True)
@@ -60,7 +69,7 @@
     discovery: Address
     seed: int
     sockets: int
-    known: Listing
+    known: EndpointList
     settings: Settings
 
 
@@ -81,18 +90,18 @@
     """Split host:port."""
     host, _, port = text.rpartition(":")
     if not HOST.fullmatch(host) or not PORT.fullmatch(port) or int(port) > 65535:
-        raise Malformed(f"{text!r:.60} is no address of the form host:port")
+        raise MalformedInputError(f"{text!r:.60} is no address of the form host:port")
     return host.strip("[]"), int(port)
 
 
 def hex_digits(text: str) -> int:
     """A number written in hex digits and nothing else."""
     if not re.fullmatch("[0-9a-fA-F]+", text):
-        raise Malformed(f"'seed' must be hex digits, not {text!r:.60}")
+        raise MalformedInputError(f"'seed' must be hex digits, not {text!r:.60}")
     return int(text, 16)
 
 
-def read_listing(obj: Json) -> Listing:
+def read_endpoint_list(obj: Json) -> EndpointList:
     """Read a list as discovery writes it; `StartTimes` turns `since_ms` into the entries' starts."""
     entries: list[Endpoint] = []
     addresses: dict[int, Address] = {}
@@ -102,16 +111,16 @@
         since_ms[server] = opt(item, "since_ms", NUMBER, 0)
         entries.append(
             Endpoint(
-                server=server,
+                server_id=server,
                 zone=opt(item, "zone", str, ""),
-                kind=opt(item, "type", str, ""),
+                machine_type=opt(item, "type", str, ""),
                 cell=opt(item, "group", int, 0),
-                health=word(item, "status", STATUSES),
-                share=opt(item, "weight", NUMBER, 1.0),
+                state=word(item, "status", STATUSES),
+                weight=opt(item, "weight", NUMBER, 1.0),
             )
         )
         addresses[server] = address(get(item, "address", str))
-    return Listing(get(obj, "index", int), get(obj, "snapshot", bool), entries, addresses, since_ms)
+    return EndpointList(get(obj, "index", int), get(obj, "snapshot", bool), entries, addresses, since_ms)
 
 
 def read_config(path: str) -> Config:
@@ -120,11 +129,11 @@
         with open(path, encoding="utf-8") as file:
             obj = json.load(file)
     except OSError as problem:
-        raise UnreadableConfig(f"can't read the configuration: {problem}") from None
+        raise UnreadableConfigError(f"can't read the configuration: {problem}") from None
     except (ValueError, RecursionError) as problem:
-        raise BadConfig(f"{path}: not JSON: {problem!s:.100}") from None
+        raise InvalidConfigError(f"{path}: not JSON: {problem!s:.100}") from None
     if not isinstance(obj, dict):
-        raise BadConfig(f"{path}: must be an object")
+        raise InvalidConfigError(f"{path}: must be an object")
     try:
         limits = opt(obj, "limits", dict, {})
         return Config(
@@ -133,8 +142,10 @@
             discovery=address(get(obj, "discovery", str)),
             seed=hex_digits(get(obj, "seed", str)),
             sockets=opt(limits, "sockets", int, 1024),
-            known=read_listing(opt(obj, "known", dict, {"index": 0, "snapshot": True, "endpoints": []})),
+            known=read_endpoint_list(
+                opt(obj, "known", dict, {"index": 0, "snapshot": True, "endpoints": []})
+            ),
             settings=read_settings(get(obj, "settings", dict)),
         )
-    except (Malformed, ValueError) as problem:
-        raise BadConfig(f"{path}: {problem}") from None
+    except (MalformedInputError, ValueError) as problem:
+        raise InvalidConfigError(f"{path}: {problem}") from None
--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -12,26 +12,26 @@
 CONNECT_S = 0.5  # for a connection to come up; a cut link would use up the whole of a call's time
 SILENCE_S = 1.0  # an answer that has begun is waited for as long as more of it comes within this
 LONGEST_ANSWER_S = 15.0  # from the call to its end, however steadily it comes: two fit into a start
-MAX_ANSWER = 8 * 1024 * 1024  # bytes
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024  # bytes
 
 
-class LinkOwner(Protocol):
+class AgentClientOwner(Protocol):
     """Whoever makes the calls."""
 
-    def answered(self, link: AgentLink, status: int, body: bytes) -> None:
+    def answered(self, link: AgentClient, status: int, body: bytes) -> None:
         """A call has its whole answer; the next may be made."""
 
-    def failed(self, link: AgentLink, why: str) -> None:
+    def failed(self, link: AgentClient, why: str) -> None:
         """A call has failed; the next may be made."""
 
-    def late(self, link: AgentLink) -> None:
+    def late(self, link: AgentClient) -> None:
         """Nothing of an answer has come in the call's time; it may still come."""
 
 
 class _Connection(asyncio.Protocol):
     """A connection to an agent; tells its link of bytes, whole answers and its end."""
 
-    def __init__(self, link: AgentLink) -> None:
+    def __init__(self, link: AgentClient) -> None:
         self._link = link
         self.transport: asyncio.Transport | None = None
         self._start_answer()
@@ -61,7 +61,7 @@
             return self._link.broken(self, "an answer that can't be read")
         if self._complete:
             self._answered()
-        elif self._size > MAX_ANSWER:
+        elif self._size > MAX_RESPONSE_BYTES:
             self._link.broken(self, "an answer without end")
         else:
             self._link.progressed(self)
@@ -96,10 +96,10 @@
         self._complete, self.keep_alive = True, self._parser.should_keep_alive()
 
 
-class AgentLink:
+class AgentClient:
     """Calls to the agent at one address."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, owner: LinkOwner) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, owner: AgentClientOwner) -> None:
         self.address = address
         self._loop, self._owner = loop, owner
         self._connection: _Connection | None = None
--- a/workspond/discovery/endpoint_list_reader.py
+++ b/workspond/discovery/endpoint_list_reader.py
@@ -10,9 +10,9 @@
 import re
 from dataclasses import dataclass
 
-from workspond.config import Listing, read_listing
+from workspond.config import EndpointList, read_endpoint_list
 from workspond.policy.endpoint import EndpointState
-from workspond.settings_reader import Json, Malformed
+from workspond.settings_reader import Json, MalformedInputError
 
 ENDPOINTS = re.compile(r'"endpoints"\s*:\s*\[')
 ENTRY = re.compile(r"\s*(\{[^{}]*\})\s*([,\]])")  # with what follows it
@@ -48,14 +48,14 @@
     return SplitList(around, entries) if isinstance(around, dict) and around.get("endpoints") == [] else None
 
 
-class ListingReader:
+class EndpointListReader:
     """Reads one node's lists in the order in which they come."""
 
     def __init__(self) -> None:
         self._servers: dict[str, int] = {}  # by their entries' text, as last told
         self._texts: dict[int, str] = {}  # the other way round
 
-    def read(self, body: bytes) -> Listing:
+    def read(self, body: bytes) -> EndpointList:
         """A list; raises `ValueError`, `RecursionError` or `Malformed` if it can't be read.
 
         Of a whole list the entries that are as last told are named in `unchanged` only. Whoever reads a whole
@@ -69,22 +69,22 @@
         listing = self._read_whole(parts) if parts is not None and whole else None
         if listing is None:
             listing = self._read_all(body)
-        if not listing.whole:
-            for entry in listing.entries:
-                self._forget(entry.server)
+        if not listing.complete:
+            for entry in listing.endpoints:
+                self._forget(entry.server_id)
         return listing
 
-    def _read_all(self, body: bytes) -> Listing:
+    def _read_all(self, body: bytes) -> EndpointList:
         obj = json.loads(body)
         if not isinstance(obj, dict):
-            raise Malformed("not an object")
-        listing = read_listing(obj)
-        if listing.whole:
+            raise MalformedInputError("not an object")
+        listing = read_endpoint_list(obj)
+        if listing.complete:
             self._servers.clear()
             self._texts.clear()
         return listing
 
-    def _read_whole(self, parts: SplitList) -> Listing | None:
+    def _read_whole(self, parts: SplitList) -> EndpointList | None:
         """A whole list by its parts; None if it names a server twice, so that the order counts."""
         unchanged, new = dict[int, str](), list[str]()
         for text in parts.entries:
@@ -93,15 +93,15 @@
                 new.append(text)
             else:
                 unchanged[server] = text
-        listing = read_listing(parts.around | {"endpoints": [json.loads(text) for text in new]})
-        named = unchanged.keys() | {entry.server for entry in listing.entries}
+        listing = read_endpoint_list(parts.around | {"endpoints": [json.loads(text) for text in new]})
+        named = unchanged.keys() | {entry.server_id for entry in listing.endpoints}
         if len(named) < len(parts.entries):
             return None
-        listing.unchanged = unchanged.keys()
+        listing.unchanged_ids = unchanged.keys()
         self._texts = unchanged | {
-            entry.server: text
-            for entry, text in zip(listing.entries, new, strict=True)
-            if entry.health is not EndpointState.GONE
+            entry.server_id: text
+            for entry, text in zip(listing.endpoints, new, strict=True)
+            if entry.state is not EndpointState.REMOVED
         }
         self._servers = {text: server for server, text in self._texts.items()}
         return listing
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -12,10 +12,10 @@
 import math
 from collections.abc import Callable
 
-from workspond.config import Address, Listing, now_ms
-from workspond.discovery.agent_client import CONNECT_S, AgentLink
-from workspond.discovery.endpoint_list_reader import ListingReader
-from workspond.settings_reader import Malformed
+from workspond.config import Address, EndpointList, now_ms
+from workspond.discovery.agent_client import CONNECT_S, AgentClient
+from workspond.discovery.endpoint_list_reader import EndpointListReader
+from workspond.settings_reader import MalformedInputError
 
 # How long discovery may keep a watch open, and what it gets beyond that. Its silence shows only then. In
 # incident r32b5e5, at 20 s, all nodes sent through a whole release by the list they had started with. A watch
@@ -43,19 +43,19 @@
     return FAILURES_BORNE * (call_ms + pause_ms) + CONNECT_S * 1000.0
 
 
-class Discovery:
+class EndpointWatcher:
     """Keeps the list; `news` gets each part of it in order, or None when a call has failed."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        news: Callable[[Listing | None, str], None],
+        news: Callable[[EndpointList | None, str], None],
     ) -> None:
         self._loop, self._news = loop, news
-        self._reader = ListingReader()
-        self._link = AgentLink(loop, address, self)
-        self._earlier: list[AgentLink] = []  # overtaken, the oldest first
+        self._reader = EndpointListReader()
+        self._link = AgentClient(loop, address, self)
+        self._earlier: list[AgentClient] = []  # overtaken, the oldest first
         self._heard_ms = -math.inf  # when the last good answer came
         self._closed = False
 
@@ -78,7 +78,7 @@
                 self._earlier.remove(returned[0])
                 self._link = returned[0]
                 return
-            self._link = AgentLink(self._loop, address, self)
+            self._link = AgentClient(self._loop, address, self)
         self._ask()
 
     def close(self) -> None:
@@ -97,7 +97,7 @@
         self._earlier.append(link)
         self._loop.call_later(EARLIER_S, self._forget, link)
 
-    def _forget(self, link: AgentLink) -> None:
+    def _forget(self, link: AgentClient) -> None:
         if link in self._earlier:
             self._earlier.remove(link)
             link.close()
@@ -113,52 +113,54 @@
         limit_ms = CALL_MS if link.whole else WATCH_MS + GRACE_MS
         link.call(f"/api/targets{query}", limit_ms / 1000.0)
 
-    def failed(self, link: AgentLink, why: str) -> None:
+    def failed(self, link: AgentClient, why: str) -> None:
         """A call has failed: the node says when to make another."""
         if link is self._link:
             self._news(None, why)
         else:
             self._forget(link)
 
-    def answered(self, link: AgentLink, status: int, body: bytes) -> None:
+    def answered(self, link: AgentClient, status: int, body: bytes) -> None:
         """Take an answer, and ask for what comes next before it is worked through."""
         if status != 200:
             return self._unusable(link, f"status {status}")
         try:
             listing = self._reader.read(body)
-        except (ValueError, RecursionError, Malformed) as problem:
+        except (ValueError, RecursionError, MalformedInputError) as problem:
             return self._unusable(link, f"a list that can't be read: {problem!s:.100}")
-        if link.address == self._link.address and (listing.whole or listing.entries):
+        if link.address == self._link.address and (listing.complete or listing.endpoints):
             self._restore(link)  # what the other would have told comes by version
         current = link is self._link
-        if not listing.whole and (link.whole or listing.index < link.index):
+        if not listing.complete and (link.whole or listing.index < link.index):
             link.whole = True  # changes to a list that we don't hold
             return self._ask() if current else self._forget(link)
         link.index, link.whole = listing.index, False
-        listing.previous_ms, self._heard_ms = self._heard_ms, now_ms()
+        listing.previous_response_at_ms, self._heard_ms = self._heard_ms, now_ms()
         if current:
             self._end_earlier()
             self._ask()  # a watch goes on only if the next call comes within 200 ms
         else:
             self._forget(link)
-            if listing.whole:  # the changes that other watches would tell are to the list that this replaces
+            if (
+                listing.complete
+            ):  # the changes that other watches would tell are to the list that this replaces
                 self._link.whole = True
                 self._end_watches()
-        if listing.whole or listing.entries:
+        if listing.complete or listing.endpoints:
             self._news(listing, "")
 
-    def _restore(self, link: AgentLink) -> None:
+    def _restore(self, link: AgentClient) -> None:
         """Go on with a link whose answer has come, late or not, in place of the one that overtook it."""
         if link is not self._link:
             self._link.close()
             self._earlier.remove(link)
             self._link = link
 
-    def late(self, link: AgentLink) -> None:
+    def late(self, link: AgentClient) -> None:
         """A call's time is over: it goes on beside the next one, which the node says when to make."""
         if link is self._link:
             self._overtake()
-            self._link = AgentLink(self._loop, link.address, self)
+            self._link = AgentClient(self._loop, link.address, self)
             self._link.index, self._link.whole = link.index, link.whole
             self._news(None, "no answer in time")
 
@@ -166,6 +168,6 @@
         for link in [link for link in self._earlier if not link.whole]:
             self._forget(link)
 
-    def _unusable(self, link: AgentLink, why: str) -> None:
+    def _unusable(self, link: AgentClient, why: str) -> None:
         link.close()
         self.failed(link, why)
--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -12,29 +12,29 @@
 from typing import Protocol, cast
 
 from workspond.config import now_ms
-from workspond.downstream.connection_states import Stage
+from workspond.downstream.connection_states import ConnectionState
 from workspond.downstream.socket_state import unread_since_ms
-from workspond.http.request import Message, Unacceptable
-from workspond.http.request_parser import Item, Rejection, RequestParser
-from workspond.http.response import Reply, render
-from workspond.observability.counters import Event, EventCounts
+from workspond.http.request import ClientRequest, InvalidRequestError
+from workspond.http.request_parser import ConnectionRejection, Item, RequestParser
+from workspond.http.response import Response, render
+from workspond.observability.counters import Event, EventCounters
 from workspond.policy.settings import RequestClass
 
 MOST_QUEUED = 8  # messages read ahead of their turn; the rest waits unread, or read and not parsed
 PARSE_BYTES = 4096  # taken from what has been read at a time, so that few messages go beyond that
 
 
-class TakenRequest(Protocol):
+class AcceptedRequest(Protocol):
     """A request that the node has taken, as far as its caller's connection knows it."""
 
     def abandon(self, why: str) -> None:
         """Nobody waits for the answer any more."""
 
 
-class Requester(Protocol):
+class ResponseReceiver(Protocol):
     """Whoever waits for a request's answer, as far as the node knows it."""
 
-    def answer(self, reply: Reply) -> None:
+    def answer(self, reply: Response) -> None:
         """Give it the request's one answer."""
 
     def gone(self) -> bool:
@@ -45,29 +45,29 @@
     """What a connection needs of the frontend."""
 
     classes: dict[str, RequestClass]
-    counts: EventCounts
+    counts: EventCounters
 
-    def accept(self, message: Message, requester: Requester) -> TakenRequest:
+    def accept(self, message: ClientRequest, requester: ResponseReceiver) -> AcceptedRequest:
         """Have the node take a request; raises `Unacceptable`."""
 
-    def own_path(self, path: bytes) -> Reply:
+    def own_path(self, path: bytes) -> Response:
         """Answer for the node itself."""
 
-    def opened(self, connection: CallerConnection) -> None:
+    def opened(self, connection: ClientConnection) -> None:
         """Count a connection in."""
 
-    def moved(self, connection: CallerConnection, stage: Stage) -> None:
+    def moved(self, connection: ClientConnection, stage: ConnectionState) -> None:
         """A connection waits for something else now."""
 
-    def closed(self, connection: CallerConnection) -> None:
+    def closed(self, connection: ClientConnection) -> None:
         """Count a connection out."""
 
 
-class CallerConnection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A caller's connection. Answers go out in the order of the requests, one at a time."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        self.stage: Stage | None = None  # None: not open
+        self.stage: ConnectionState | None = None  # None: not open
         self._owner = owner
         self._transport: asyncio.Transport
         self._socket: socket.socket
@@ -75,7 +75,7 @@
         self._queue: deque[Item] = deque()  # read and not yet begun
         self._unparsed = b""  # read, while the queue was full
         self._unparsed_came_ms = 0.0  # when that came
-        self._taken: TakenRequest | None = None  # the one that the node has
+        self._taken: AcceptedRequest | None = None  # the one that the node has
         self._busy = False  # the node has one, or is just being given it
         self._closing = False  # closes after what is under way
         self._ended = False  # the caller has ended its sending, or has been turned away
@@ -148,18 +148,20 @@
         if self.stage is not None:
             self._owner.moved(self, self._current_stage())
 
-    def _current_stage(self) -> Stage:
+    def _current_stage(self) -> ConnectionState:
         if self._ended or self._write_paused or self._transport.is_closing():
-            return Stage.LEAVING
-        if self._queue and isinstance(self._queue[-1], Rejection):
-            return Stage.REJECTING
+            return ConnectionState.LEAVING
+        if self._queue and isinstance(self._queue[-1], ConnectionRejection):
+            return ConnectionState.REJECTING
         if self._asked and self._parser.partial and not self._unparsed:
-            return Stage.READING  # also behind a request in work: whoever stops midway is owed an error soon
+            return (
+                ConnectionState.READING
+            )  # also behind a request in work: whoever stops midway is owed an error soon
         if self._busy or self._queue:
-            return Stage.SERVING
+            return ConnectionState.SERVING
         if not self._asked:
-            return Stage.NEW
-        return Stage.IDLE
+            return ConnectionState.NEW
+        return ConnectionState.IDLE
 
     def drain(self) -> None:
         """Close after what is under way, read by the loop or not yet; at once if nothing is."""
@@ -175,13 +177,13 @@
 
     def time_out(self) -> None:
         """Its stage has lasted too long."""
-        if self.stage is Stage.LEAVING:
+        if self.stage is ConnectionState.LEAVING:
             self.abort("it did not read what it was sent")
-        elif self.stage is Stage.REJECTING:
+        elif self.stage is ConnectionState.REJECTING:
             self._fail_owed()
         elif self._parser.partial:
             self._parser.stop()
-            self._queue.append(Rejection(Reply(408, b"the request took too long to come")))
+            self._queue.append(ConnectionRejection(Response(408, b"the request took too long to come")))
             self._fail_owed()
         elif not self.unread():  # else a request crosses the limit: closed over it, it would be reset
             self._close(f"it waited too long for {self.stage.value if self.stage else 'nothing'}")
@@ -204,14 +206,14 @@
         """Answer what is owed before a rejection now, so that the rejection is not late."""
         if self._busy:
             self._let_go("given up for the error behind it")
-            self._write(Reply(504, b"given up"))
+            self._write(Response(504, b"given up"))
         owed, self._queue = self._queue, deque()
         for item in owed:
-            self._queue.append(Reply(504, b"given up") if isinstance(item, Message) else item)
+            self._queue.append(Response(504, b"given up") if isinstance(item, ClientRequest) else item)
         self._serve_next()
         self._settle()
 
-    def _reject(self, rejection: Rejection) -> None:
+    def _reject(self, rejection: ConnectionRejection) -> None:
         """Tell the error that ends the connection; all that came before it has its answer."""
         self._owner.counts.note(Event.CLOSED, f"rejected with {rejection.reply.status}")
         self._closing = self._ended = True
@@ -226,9 +228,9 @@
         self._parse()
         while self._queue and not self._busy and not self._write_paused and not self._transport.is_closing():
             item = self._queue.popleft()
-            if isinstance(item, Message):
+            if isinstance(item, ClientRequest):
                 self._take(item)
-            elif isinstance(item, Rejection):
+            elif isinstance(item, ConnectionRejection):
                 self._reject(item)
             else:
                 self._write(item)
@@ -252,13 +254,13 @@
             self._read_paused = pause
             (self._transport.pause_reading if pause else self._transport.resume_reading)()
 
-    def _take(self, message: Message) -> None:
+    def _take(self, message: ClientRequest) -> None:
         self._busy = True
         try:
             taken = self._owner.accept(message, self)
-        except Unacceptable as problem:
+        except InvalidRequestError as problem:
             self._busy = False
-            return self._write(Reply(400, str(problem).encode()))
+            return self._write(Response(400, str(problem).encode()))
         self._asked = True
         if self._busy:  # it may have been answered at once
             self._taken = taken
@@ -285,7 +287,7 @@
         self._settle()
         return True
 
-    def answer(self, reply: Reply) -> None:
+    def answer(self, reply: Response) -> None:
         """The node's answer to the request it has."""
         self._taken, self._busy = None, False
         if not self._transport.is_closing():
@@ -293,7 +295,7 @@
             self._serve_next()
             self._settle()
 
-    def _write(self, reply: Reply) -> None:
+    def _write(self, reply: Response) -> None:
         close = self._closing and not self._owes_more()
         self._transport.write(render(reply, close))
         if close:
--- a/workspond/downstream/connection_states.py
+++ b/workspond/downstream/connection_states.py
@@ -12,7 +12,7 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Stage(Enum):
+class ConnectionState(Enum):
     """What a caller's connection waits for."""
 
     NEW = "its first request, whole"
@@ -24,38 +24,40 @@
 
 
 LIMITS_S = {
-    Stage.NEW: 2.0,  # a silent or slow caller is owed an error or a close within 3 s of connecting
-    Stage.READING: 2.0,
-    Stage.REJECTING: 2.0,  # the error too is owed within 3 s
-    Stage.IDLE: 10.0,  # many ask once and stay; a reconnect of one that asks again costs it little
-    Stage.LEAVING: 2.0,
+    ConnectionState.NEW: 2.0,  # a silent or slow caller is owed an error or a close within 3 s of connecting
+    ConnectionState.READING: 2.0,
+    ConnectionState.REJECTING: 2.0,  # the error too is owed within 3 s
+    ConnectionState.IDLE: 10.0,  # many ask once and stay; a reconnect of one that asks again costs it little
+    ConnectionState.LEAVING: 2.0,
 }  # SERVING has none of its own: each request ends at its deadline
 # Who goes first for a new caller at the most there may be: those that never asked, then the longest idle.
-EXPENDABLE = (Stage.LEAVING, Stage.NEW, Stage.IDLE)
+EXPENDABLE = (ConnectionState.LEAVING, ConnectionState.NEW, ConnectionState.IDLE)
 
 
-class Staged(Protocol):
+class TrackedConnection(Protocol):
     """A connection that is in one stage at a time; None: not open."""
 
-    stage: Stage | None
+    stage: ConnectionState | None
 
     def time_out(self) -> None:
         """End what its stage waits for: it has lasted too long."""
 
 
-Connection = TypeVar("Connection", bound=Staged)
+Connection = TypeVar("Connection", bound=TrackedConnection)
 
 
-class StageTable(Generic[Connection]):
+class ConnectionTable(Generic[Connection]):
     """All open connections by stage, each with the time at which it came to it."""
 
     def __init__(self) -> None:
-        self._by_stage: dict[Stage, dict[Connection, float]] = {stage: {} for stage in Stage}
+        self._by_stage: dict[ConnectionState, dict[Connection, float]] = {
+            stage: {} for stage in ConnectionState
+        }
 
     def __len__(self) -> int:
         return sum(map(len, self._by_stage.values()))
 
-    def enter(self, connection: Connection, stage: Stage, now_s: float) -> None:
+    def enter(self, connection: Connection, stage: ConnectionState, now_s: float) -> None:
         """Put a connection into a stage; its time begins anew only where that is another one."""
         if connection.stage is not stage:
             self.remove(connection)
@@ -68,13 +70,13 @@
             del self._by_stage[connection.stage][connection]
             connection.stage = None
 
-    def of(self, stage: Stage) -> list[Connection]:
+    def of(self, stage: ConnectionState) -> list[Connection]:
         """The connections of a stage, the longest there first."""
         return list(self._by_stage[stage])
 
     def all(self) -> list[Connection]:
         """All open connections."""
-        return [connection for stage in Stage for connection in self._by_stage[stage]]
+        return [connection for stage in ConnectionState for connection in self._by_stage[stage]]
 
     def expendable(self) -> Iterator[Connection]:
         """Those that are owed nothing, the first to go first."""
--- a/workspond/downstream/frontend.py
+++ b/workspond/downstream/frontend.py
@@ -7,19 +7,19 @@
 from collections.abc import Callable
 
 from workspond.config import Address
-from workspond.downstream.client_connection import CallerConnection, Requester, TakenRequest
-from workspond.downstream.connection_states import Stage, StageTable
+from workspond.downstream.client_connection import AcceptedRequest, ClientConnection, ResponseReceiver
+from workspond.downstream.connection_states import ConnectionState, ConnectionTable
 from workspond.downstream.listener import Listener
-from workspond.http.request import Message
-from workspond.http.response import Reply
-from workspond.observability.counters import EventCounts
+from workspond.http.request import ClientRequest
+from workspond.http.response import Response
+from workspond.observability.counters import EventCounters
 from workspond.policy.settings import RequestClass
 
 SWEEP_S = 0.2  # how often stages are looked at; limits are late by so much at most
 MOST_POLLED = 32  # connections asked whether they can go, for each new one
 READY_PATH = b"/-/ready"
 
-Accept = Callable[[Message, Requester], TakenRequest]
+Accept = Callable[[ClientRequest, ResponseReceiver], AcceptedRequest]
 
 
 class Frontend:
@@ -31,12 +31,12 @@
         accept: Accept,
         ready: Callable[[], bool],
         most: int,
-        counts: EventCounts,
+        counts: EventCounters,
     ) -> None:
         """`most`: callers' connections that may be open at once."""
         self.classes, self.counts = classes, counts
         self._accept, self._ready, self._most = accept, ready, most
-        self.connections: StageTable[CallerConnection] = StageTable()
+        self.connections: ConnectionTable[ClientConnection] = ConnectionTable()
         self._listener: Listener | None = None
         self._loop: asyncio.AbstractEventLoop
         self._leaving = self._closing = False
@@ -45,7 +45,7 @@
     async def listen(self, loop: asyncio.AbstractEventLoop, address: Address) -> Address:
         """Accept callers from now on; the address, with the port that port 0 stands for."""
         self._loop = loop
-        self._listener = Listener(loop, address, lambda: CallerConnection(self))
+        self._listener = Listener(loop, address, lambda: ClientConnection(self))
         self._sweep()
         return self._listener.address
 
@@ -54,23 +54,23 @@
         opening = self._listener.opening if self._listener is not None else 0
         return len(self.connections) + opening
 
-    def accept(self, message: Message, requester: Requester) -> TakenRequest:
+    def accept(self, message: ClientRequest, requester: ResponseReceiver) -> AcceptedRequest:
         """Have the node take a request."""
         return self._accept(message, requester)
 
-    def own_path(self, path: bytes) -> Reply:
+    def own_path(self, path: bytes) -> Response:
         """Answer for the node itself."""
         if path != READY_PATH:
-            return Reply(404, b"no such path")
+            return Response(404, b"no such path")
         # Not 503, which would be a refusal: this answers no request, but whoever asks may not know.
-        return Reply(200, b"ready") if self._ready() and not self._leaving else Reply(500, b"not ready")
+        return Response(200, b"ready") if self._ready() and not self._leaving else Response(500, b"not ready")
 
-    def opened(self, connection: CallerConnection) -> None:
+    def opened(self, connection: ClientConnection) -> None:
         """Count a caller in; at the most there may be, one that is owed nothing goes for it.
 
         Not one whose request waits to be read: many may have connected within one turn of the loop.
         """
-        self.connections.enter(connection, Stage.NEW, self._loop.time())
+        self.connections.enter(connection, ConnectionState.NEW, self._loop.time())
         if self._closing:
             connection.drain()
         elif len(self.connections) > self._most:
@@ -78,11 +78,11 @@
             others = (other for other in candidates if other is not connection and not other.unread())
             next(others, connection).abort("too many connections")
 
-    def moved(self, connection: CallerConnection, stage: Stage) -> None:
+    def moved(self, connection: ClientConnection, stage: ConnectionState) -> None:
         """A connection waits for something else; its time begins anew if so."""
         self.connections.enter(connection, stage, self._loop.time())
 
-    def closed(self, connection: CallerConnection) -> None:
+    def closed(self, connection: ClientConnection) -> None:
         """Count a caller out."""
         self.connections.remove(connection)
         if not self.count():
--- a/workspond/http/limits.py
+++ b/workspond/http/limits.py
@@ -2,5 +2,5 @@
 
 from __future__ import annotations
 
-MAX_BODY = 64 * 1024  # bytes, by the protocol
-MAX_HEAD = 16 * 1024  # bytes of a start line with its headers
+MAX_BODY_BYTES = 64 * 1024  # bytes, by the protocol
+MAX_HEAD_BYTES = 16 * 1024  # bytes of a start line with its headers
--- a/workspond/http/request.py
+++ b/workspond/http/request.py
@@ -31,23 +31,23 @@
 
 
 @dataclass(slots=True)
-class Message:
+class ClientRequest:
     """A request as it came in, with what must go on unchanged."""
 
     method: bytes
     target: bytes
-    id: str
-    cls: str
+    request_id: str
+    class_name: str
     budget_ms: float
     tenant: str | None
-    again: bool
-    key: bytes | None
+    is_client_retry: bool
+    idempotency_key: bytes | None
     content_type: bytes | None
     body: bytes
-    came_ms: float  # when its last byte was read, by `now_ms`: its budget runs from there
+    received_at_ms: float  # when its last byte was read, by `now_ms`: its budget runs from there
 
 
-class Unacceptable(Exception):
+class InvalidRequestError(Exception):
     """A request that can't be taken; the text tells the caller why."""
 
 
@@ -57,9 +57,9 @@
     if coding is None:
         return
     if b"content-length" in headers:
-        raise Unacceptable("Content-Length and Transfer-Encoding together")
+        raise InvalidRequestError("Content-Length and Transfer-Encoding together")
     if coding.lower() != b"chunked" or version != "1.1":
-        raise Unacceptable("the only Transfer-Encoding served is chunked, in HTTP/1.1")
+        raise InvalidRequestError("the only Transfer-Encoding served is chunked, in HTTP/1.1")
 
 
 def read_message(
@@ -68,30 +68,30 @@
     target: bytes,
     headers: dict[bytes, bytes],
     body: bytes,
-    came_ms: float,
-) -> Message:
+    received_at_ms: float,
+) -> ClientRequest:
     """Check a whole request; `Unacceptable` says what is wrong with it."""
     try:
         path = target.partition(b"?")[0].decode("ascii")
         cls = classes.get(unquote(path.partition("/")[2].partition("/")[0]) if path[:1] == "/" else "")
         tenant = headers.get(b"x-caller", b"").decode("utf-8") or None
     except ValueError:
-        raise Unacceptable("X-Caller or the path can't be read") from None
+        raise InvalidRequestError("X-Caller or the path can't be read") from None
     if cls is None:
-        raise Unacceptable("no such class")
-    if method != (b"GET" if cls.repeat is Idempotency.SAFE else b"POST"):
-        raise Unacceptable("not the method of this class")
+        raise InvalidRequestError("no such class")
+    if method != (b"GET" if cls.idempotency is Idempotency.IDEMPOTENT else b"POST"):
+        raise InvalidRequestError("not the method of this class")
     if method == b"GET" and body:
-        raise Unacceptable("GET with a body")
+        raise InvalidRequestError("GET with a body")
     id, key, budget = (headers.get(name) for name in (b"x-call-id", b"idempotency-key", b"x-budget"))
     if id is None or not TOKEN.fullmatch(id):
-        raise Unacceptable("X-Call-Id is missing or can't be used")
+        raise InvalidRequestError("X-Call-Id is missing or can't be used")
     # Without its key servers could not drop a keyed request's repeats.
-    if (key is not None) != (cls.repeat is Idempotency.KEYED) or not TOKEN.fullmatch(key or b"none"):
-        raise Unacceptable("Idempotency-Key does not fit this class")
+    if (key is not None) != (cls.idempotency is Idempotency.KEYED) or not TOKEN.fullmatch(key or b"none"):
+        raise InvalidRequestError("Idempotency-Key does not fit this class")
     if budget is None or not SECONDS.fullmatch(budget) or not float(budget):
-        raise Unacceptable("X-Budget must be seconds above 0")
-    return Message(
+        raise InvalidRequestError("X-Budget must be seconds above 0")
+    return ClientRequest(
         # Nobody waits longer than the class's deadline: a longer budget would hold the books open.
         method,
         target,
@@ -103,5 +103,5 @@
         key,
         headers.get(b"content-type"),
         body,
-        came_ms,
+        received_at_ms,
     )
--- a/workspond/http/response.py
+++ b/workspond/http/response.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class Reply:
+class Response:
     """An answer to a caller."""
 
     status: int
@@ -16,7 +16,7 @@
     retry_after_s: float | None = None
 
 
-def render(reply: Reply, close: bool) -> bytes:
+def render(reply: Response, close: bool) -> bytes:
     """An answer as one piece of bytes, to be written at once; `close`: it is the connection's last."""
     lines = [f"HTTP/1.1 {reply.status} {HTTPStatus(reply.status).phrase}\r\n"]
     if reply.content_type is not None:
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -13,14 +13,14 @@
 import resource
 from collections import deque
 
-from workspond.config import Address, Config, Listing, now_ms
-from workspond.discovery.incarnations import StartTimes
-from workspond.discovery.watcher import Discovery
-from workspond.downstream.client_connection import Requester
+from workspond.config import Address, Config, EndpointList, now_ms
+from workspond.discovery.incarnations import IncarnationTracker
+from workspond.discovery.watcher import EndpointWatcher
+from workspond.downstream.client_connection import ResponseReceiver
 from workspond.downstream.frontend import Frontend
-from workspond.http.request import Message, Unacceptable
-from workspond.http.response import Reply
-from workspond.observability.counters import Event, EventCounts
+from workspond.http.request import ClientRequest, InvalidRequestError
+from workspond.http.response import Response
+from workspond.observability.counters import Event, EventCounters
 from workspond.policy.actions import (
     CancelAttempt,
     CloseIdleConnections,
@@ -45,9 +45,9 @@
     TimerFired,
     UpdateKind,
 )
-from workspond.policy.token_bucket import Bucket
-from workspond.upstream.connection_pool import Answer, Attempt, Upstream
-from workspond.upstream.send_guard import AttemptLog, Refusal, SendGuard
+from workspond.policy.token_bucket import TokenBucket
+from workspond.upstream.connection_pool import Attempt, ConnectionPool, ServerResponse
+from workspond.upstream.send_guard import AttemptHistory, SendGuard, SendRefusal
 
 MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
 # A planned end. Connections go on coming for 0.4 s after SIGTERM at least; SIGKILL follows no sooner than
@@ -65,13 +65,13 @@
 log = logging.getLogger("workspond")
 
 
-class Live:
+class ActiveRequest:
     """A request that is owed its answer, with its attempts."""
 
     __slots__ = (
         "_node",
         "attempts",
-        "came_ms",
+        "received_at_ms",
         "deadline_ms",
         "deadline_timer",
         "id",
@@ -82,12 +82,12 @@
     )
 
     def __init__(
-        self, node: Node, id: str, message: Message, requester: Requester, deadline_ms: float
+        self, node: Node, id: str, message: ClientRequest, requester: ResponseReceiver, deadline_ms: float
     ) -> None:
         self._node, self.id, self.message, self.requester = node, id, message, requester
-        self.came_ms, self.deadline_ms = message.came_ms, deadline_ms
+        self.received_at_ms, self.deadline_ms = message.received_at_ms, deadline_ms
         self.attempts = 0  # begun so far
-        self.sent = AttemptLog()
+        self.sent = AttemptHistory()
         self.outcomes: list[str] = []  # how each of them ended, for the log
         self.deadline_timer: asyncio.TimerHandle | None = None
 
@@ -96,18 +96,18 @@
         self._node.abandon(self, why)
 
 
-def request_bytes(message: Message, address: Address, timeout_ms: float) -> bytes:
+def request_bytes(message: ClientRequest, address: Address, timeout_ms: float) -> bytes:
     """A request as it goes to a server, in one piece; it is waited for so long from now."""
     parts = [
         message.method,
         b" ",
         message.target,
         b" HTTP/1.1\r\nHost: ",
-        f"{address[0]}:{address[1]}\r\nX-Call-Id: {message.id}\r\n".encode(),
+        f"{address[0]}:{address[1]}\r\nX-Call-Id: {message.request_id}\r\n".encode(),
         f"X-Budget: {timeout_ms / 1000.0:.3f}\r\n".encode(),
     ]
-    if message.key is not None:
-        parts += [b"Idempotency-Key: ", message.key, b"\r\n"]
+    if message.idempotency_key is not None:
+        parts += [b"Idempotency-Key: ", message.idempotency_key, b"\r\n"]
     if message.content_type is not None:
         parts += [b"Content-Type: ", message.content_type, b"\r\n"]
     if message.body or message.method != b"GET":
@@ -134,16 +134,16 @@
         # Keyed by a serial of the node's own, as is all that the module hears: an attempt may outlast its
         # request, and a caller's id that came again would mix up their books.
         self._serial = 0
-        self._live: dict[str, Live] = {}
+        self._live: dict[str, ActiveRequest] = {}
         self._open_ids: set[str] = set()  # the callers' ids of those
         self._attempts: dict[tuple[str, int], Attempt] = {}  # those that are out
         self._addresses: dict[int, Address] = {}
         self._in_service: set[int] = set()
-        self._starts = StartTimes()
-        self.counts = EventCounts()
+        self._starts = IncarnationTracker()
+        self.counts = EventCounters()
         self._guard = SendGuard(settings, self._in_service, self._addresses)
-        self._upstream = Upstream(loop, settings.connect_timeout_ms, settings.keepalive_ms, self._room)
-        self._discovery = Discovery(loop, config.discovery, self._on_news)
+        self._upstream = ConnectionPool(loop, settings.connect_timeout_ms, settings.keepalive_ms, self._room)
+        self._discovery = EndpointWatcher(loop, config.discovery, self._on_news)
         self._asked = False  # the first call to discovery has ended
         self.frontend = Frontend(
             self._balancer.classes,
@@ -152,7 +152,7 @@
             int(CALLERS_SHARE * self._descriptors),
             self.counts,
         )
-        self._traces = Bucket(TRACES_PER_S, now_ms())
+        self._traces = TokenBucket(TRACES_PER_S, now_ms())
         self._longest_ms = min(LONGEST_MS, max(cls.deadline_ms for cls in settings.classes))
         self._stop_ms = math.inf  # when all must be answered, once the node is to end
 
@@ -160,7 +160,7 @@
         """Let the module begin, and ask for the list: the node is ready once that call has ended."""
         self.counts.report_regularly(self._loop)
         self._handle(NodeStarted())
-        if not self._config.settings.follow_list:
+        if not self._config.settings.requires_subscription:
             self._discovery.subscribe()
 
     def reconfigure(self, config: Config) -> None:
@@ -210,44 +210,46 @@
 
     # Requests
 
-    def accept(self, message: Message, requester: Requester) -> Live:
+    def accept(self, message: ClientRequest, requester: ResponseReceiver) -> ActiveRequest:
         """Take a request; from now on its caller is owed exactly one answer."""
-        if message.id in self._open_ids:
-            raise Unacceptable("a request with this X-Call-Id is open")
+        if message.request_id in self._open_ids:
+            raise InvalidRequestError("a request with this X-Call-Id is open")
         self._serial += 1
         now, id = now_ms(), str(self._serial)
-        live = Live(self, id, message, requester, min(message.came_ms + message.budget_ms, self._stop_ms))
+        live = ActiveRequest(
+            self, id, message, requester, min(message.received_at_ms + message.budget_ms, self._stop_ms)
+        )
         self._live[id] = live
-        self._open_ids.add(message.id)
+        self._open_ids.add(message.request_id)
         self._set_deadline_timer(live)
         ttl_ms = max(0.0, live.deadline_ms - now - MARGIN_MS)
-        self._handle(RequestReceived(id, message.cls, ttl_ms, message.tenant, message.again))
+        self._handle(RequestReceived(id, message.class_name, ttl_ms, message.tenant, message.is_client_retry))
         return live
 
-    def _set_deadline_timer(self, live: Live) -> None:
+    def _set_deadline_timer(self, live: ActiveRequest) -> None:
         """Set the timer that fails the request to its deadline, as it is now."""
         if live.deadline_timer is not None:
             live.deadline_timer.cancel()
         left_s = max(0.0, live.deadline_ms - now_ms()) / 1000.0
         live.deadline_timer = self._loop.call_later(left_s, self._overdue, live)
 
-    def abandon(self, live: Live, why: str = "left by its caller") -> None:
+    def abandon(self, live: ActiveRequest, why: str = "left by its caller") -> None:
         """Nobody waits any more."""
         if self._drop(live):
             self.counts.note(Event.ABANDONED, why)
             self._trace(live, why)
             self._handle(RequestAbandoned(live.id))
 
-    def _drop(self, live: Live) -> bool:
+    def _drop(self, live: ActiveRequest) -> bool:
         """Forget a request, if it is still owed: whoever gets True has its one answer to give."""
         if self._live.pop(live.id, None) is None:
             return False
-        self._open_ids.discard(live.message.id)
+        self._open_ids.discard(live.message.request_id)
         if live.deadline_timer is not None:
             live.deadline_timer.cancel()
         return True
 
-    def _finish(self, id: str, reply: Reply) -> None:
+    def _finish(self, id: str, reply: Response) -> None:
         live = self._live.get(id)
         if live is not None and self._drop(live):
             self.counts.note(Event.ANSWERED, str(reply.status))
@@ -255,31 +257,31 @@
                 self._trace(live, f"answered {reply.status}")
             live.requester.answer(reply)
 
-    def _trace(self, live: Live, end: str) -> None:
+    def _trace(self, live: ActiveRequest, end: str) -> None:
         """Log a request that ended badly, from its arrival on, with every attempt."""
         now, message = now_ms(), live.message
         if self._traces.take(TRACES_PER_S / 1000.0, TRACES_PER_S, now):
             log.info(
                 "request %s %s %s after %.1f of %.1f ms: %s%s",
-                message.id,
-                message.cls,
+                message.request_id,
+                message.class_name,
                 end,
-                now - live.came_ms,
+                now - live.received_at_ms,
                 message.budget_ms,
                 "; ".join(live.outcomes) or "no attempt ended",
                 f"; {out} out" if (out := live.attempts - len(live.outcomes)) else "",
             )
 
-    def _overdue(self, live: Live) -> None:
+    def _overdue(self, live: ActiveRequest) -> None:
         """Fail a request that the module has not ended by its deadline, whatever the reason."""
         left_ms = live.deadline_ms - now_ms()
         if left_ms > 0.0:  # the loop's clock may run ahead: failing early would be a broken promise
             live.deadline_timer = self._loop.call_later(left_ms / 1000.0 + 0.001, self._overdue, live)
         elif self._drop(live):
-            log.warning("request %s was not ended by its deadline", live.message.id)
+            log.warning("request %s was not ended by its deadline", live.message.request_id)
             self.counts.note(Event.ANSWERED, "504")
             self._trace(live, "answered 504")
-            live.requester.answer(Reply(504, b"no answer in time"))
+            live.requester.answer(Response(504, b"no answer in time"))
             self._handle(RequestAbandoned(live.id))
 
     # The module
@@ -308,16 +310,16 @@
             case SetTimer():
                 self._loop.call_later(action.delay_ms / 1000.0, self._handle, TimerFired(action.token))
             case FailRequest():
-                self._finish(action.id, Reply(502, b"failed"))
+                self._finish(action.request_id, Response(502, b"failed"))
             case RejectRequest():
                 advice_s = action.retry_after_ms / 1000.0 or None  # 0: the module gives none
-                self._finish(action.id, Reply(503, b"refused", retry_after_s=advice_s))
+                self._finish(action.request_id, Response(503, b"refused", retry_after_s=advice_s))
             case CancelAttempt():
-                attempt = self._attempts.get((action.id, action.attempt))
+                attempt = self._attempts.get((action.request_id, action.attempt_number))
                 if attempt is not None:
                     attempt.break_off(Outcome.CANCELLED)
             case CloseIdleConnections():
-                self._upstream.close_idle(action.server)
+                self._upstream.close_idle(action.server_id)
             case Subscribe():
                 self._discovery.subscribe()
             case WriteLog():
@@ -326,18 +328,20 @@
     # Attempts
 
     def _send(self, action: SendAttempt) -> None:
-        live, server, sent_ms = self._live.get(action.id), action.server, now_ms()
-        address, latest_ms = self._addresses.get(server), sent_ms + action.within_ms
+        live, server, sent_at_ms = self._live.get(action.request_id), action.server_id, now_ms()
+        address, latest_ms = self._addresses.get(server), sent_at_ms + action.send_within_ms
         refusal = self._refusal(live, server, address, latest_ms)
         if live is None or address is None or refusal is not None:
             number = live.attempts if live is not None else 0
-            settled = action.id not in self._live
-            return self._handle(AttemptEnded(action.id, number, server, Outcome.MOOT, 0.0, settled))
+            request_finished = action.request_id not in self._live
+            return self._handle(
+                AttemptEnded(action.request_id, number, server, Outcome.NOT_SENT, 0.0, request_finished)
+            )
         number = live.attempts
         live.attempts += 1
         # Cut to what is left: an outcome must come before the answer is due.
-        timeout_ms = max(0.0, min(action.timeout_ms, live.deadline_ms - MARGIN_MS - sent_ms))
-        due_ms = sent_ms + timeout_ms
+        timeout_ms = max(0.0, min(action.timeout_ms, live.deadline_ms - MARGIN_MS - sent_at_ms))
+        due_ms = sent_at_ms + timeout_ms
         written = False
 
         def may_send() -> bool:
@@ -349,37 +353,43 @@
             live.sent.write()
             return request_bytes(live.message, address, max(0.0, due_ms - now_ms()))
 
-        def ended(result: Outcome, answer: Answer | None) -> None:
-            self._attempts.pop((action.id, number), None)
+        def ended(result: Outcome, answer: ServerResponse | None) -> None:
+            self._attempts.pop((action.request_id, number), None)
             if written:
                 live.sent.end(self._guard.may_have_run(result))
             self.counts.note(Event.ATTEMPT, result.name)
-            took_ms = now_ms() - sent_ms
-            began_ms = sent_ms - live.came_ms
+            took_ms = now_ms() - sent_at_ms
+            began_ms = sent_at_ms - live.received_at_ms
             live.outcomes.append(
                 f"{result.name} at {address[0]}:{address[1]} from {began_ms:.1f} for {took_ms:.1f}"
             )
-            if result is Outcome.SERVED and answer is not None:
-                self._finish(action.id, Reply(200, answer.body, answer.content_type))
-            settled = action.id not in self._live
-            report = answer.report if answer is not None else None
-            self._handle(AttemptEnded(action.id, number, server, result, took_ms, settled, report))
+            if result is Outcome.SUCCESS and answer is not None:
+                self._finish(action.request_id, Response(200, answer.body, answer.content_type))
+            request_finished = action.request_id not in self._live
+            report = answer.load_report if answer is not None else None
+            self._handle(
+                AttemptEnded(action.request_id, number, server, result, took_ms, request_finished, report)
+            )
 
-        attempt = self._upstream.send(server, address, render, timeout_ms, may_send, ended, action.fresh)
+        attempt = self._upstream.send(
+            server, address, render, timeout_ms, may_send, ended, action.new_connection
+        )
         if not attempt.over:
-            self._attempts[action.id, number] = attempt
+            self._attempts[action.request_id, number] = attempt
 
     def _refusal(
-        self, live: Live | None, server: int, address: Address | None, latest_ms: float
-    ) -> Refusal | None:
+        self, live: ActiveRequest | None, server: int, address: Address | None, latest_ms: float
+    ) -> SendRefusal | None:
         """Why an attempt must not be written now; asked when it is decided, and when a dial has ended."""
         if live is None or live.id not in self._live:
-            return Refusal.ANSWERED
+            return SendRefusal.ANSWERED
         if live.requester.gone():
             self.abandon(live)
-            return Refusal.CALLER_GONE
+            return SendRefusal.CALLER_GONE
         message = live.message
-        reason = self._guard.refusal(message.id, message.cls, live.sent, server, address, latest_ms)
+        reason = self._guard.refusal(
+            message.request_id, message.class_name, live.sent, server, address, latest_ms
+        )
         if reason is not None:
             self.counts.note(Event.HELD_BACK, reason.value)
             live.outcomes.append(f"held back: {reason.value}")
@@ -387,46 +397,46 @@
 
     # Discovery
 
-    def _on_news(self, listing: Listing | None, why: str) -> None:
+    def _on_news(self, listing: EndpointList | None, why: str) -> None:
         first, self._asked = not self._asked, True
         if listing is None and first:
             # What the agent holds counts as told from the process's first moment, so the list that this node
             # last had, perhaps long ago, is for when there is no other.
-            self._take_listing(self._config.known, UpdateKind.SAVED)
+            self._take_listing(self._config.known, UpdateKind.CACHED)
         if listing is not None:
-            self._take_listing(listing, UpdateKind.FULL if listing.whole else UpdateKind.CHANGES)
+            self._take_listing(listing, UpdateKind.COMPLETE if listing.complete else UpdateKind.INCREMENTAL)
             return
         self.counts.note(Event.DISCOVERY, why.partition(":")[0])
         log.info("discovery: %s", why)
-        if self._config.settings.follow_list:
+        if self._config.settings.requires_subscription:
             self._handle(EndpointUpdate(UpdateKind.FAILED))
         else:
             self._loop.call_later(PUSHED_RETRY_S, self._discovery.subscribe)
 
-    def _take_listing(self, listing: Listing, kind: UpdateKind) -> None:
+    def _take_listing(self, listing: EndpointList, kind: UpdateKind) -> None:
         self._starts.place(listing, now_ms())
         gone = []
-        if kind is not UpdateKind.CHANGES:
-            gone = list(self._addresses.keys() - listing.addresses.keys() - listing.unchanged)
+        if kind is not UpdateKind.INCREMENTAL:
+            gone = list(self._addresses.keys() - listing.addresses.keys() - listing.unchanged_ids)
             for server in gone:
                 self._forget(server)
-        for entry in listing.entries:
-            if entry.health is EndpointState.GONE:
-                self._forget(entry.server)
+        for entry in listing.endpoints:
+            if entry.state is EndpointState.REMOVED:
+                self._forget(entry.server_id)
                 continue
-            self._addresses[entry.server] = listing.addresses[entry.server]
-            if entry.health is EndpointState.IN_SERVICE:
-                self._in_service.add(entry.server)
+            self._addresses[entry.server_id] = listing.addresses[entry.server_id]
+            if entry.state is EndpointState.IN_SERVICE:
+                self._in_service.add(entry.server_id)
             else:
-                self._in_service.discard(entry.server)
-        if not listing.unchanged:
-            return self._handle(EndpointUpdate(kind, listing.index, listing.entries))
+                self._in_service.discard(entry.server_id)
+        if not listing.unchanged_ids:
+            return self._handle(EndpointUpdate(kind, listing.index, listing.endpoints))
         # The module hears of a whole list what has changed.
         entries = [
-            *listing.entries,
-            *(Endpoint(server, health=EndpointState.GONE) for server in gone),
+            *listing.endpoints,
+            *(Endpoint(server, state=EndpointState.REMOVED) for server in gone),
         ]
-        self._handle(EndpointUpdate(UpdateKind.CHANGES, listing.index, entries))
+        self._handle(EndpointUpdate(UpdateKind.INCREMENTAL, listing.index, entries))
 
     def _forget(self, server: int) -> None:
         self._in_service.discard(server)
--- a/workspond/observability/counters.py
+++ b/workspond/observability/counters.py
@@ -26,7 +26,7 @@
     DISCOVERY = "discovery"  # a call that failed
 
 
-class EventCounts:
+class EventCounters:
     """How often each event happened for each reason."""
 
     def __init__(self) -> None:
--- a/workspond/policy/actions.py
+++ b/workspond/policy/actions.py
@@ -15,28 +15,28 @@
 
     `fresh`: on a connection of its own, as one that was kept may be dead without a sign of it, and what
     is lost on it may have run. `within_ms`: if it has not been written by then it must not be any more (a
-    connection may take its time to come up) and ends as `MOOT`.
+    connection may take its time to come up) and ends as `NOT_SENT`.
     """
 
-    id: str
-    server: int
+    request_id: str
+    server_id: int
     timeout_ms: float
-    fresh: bool = False
-    within_ms: float = math.inf
+    new_connection: bool = False
+    send_within_ms: float = math.inf
 
 
 @dataclass(slots=True)
 class FailRequest:
     """End the request with an error; the client is not told whether it ran."""
 
-    id: str
+    request_id: str
 
 
 @dataclass(slots=True)
 class RejectRequest:
     """End the request unserved; the client learns that a retry is harmless."""
 
-    id: str
+    request_id: str
     retry_after_ms: float = 0.0
 
 
@@ -44,15 +44,15 @@
 class CancelAttempt:
     """Call off an attempt."""
 
-    id: str
-    attempt: int
+    request_id: str
+    attempt_number: int
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
     """Give back the connections to a server that carry nothing now."""
 
-    server: int
+    server_id: int
 
 
 @dataclass(slots=True)
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from workspond.policy.averages import ClassRecord, UsualDelay
+from workspond.policy.averages import ClassStatistics, TypicalDelay
 from workspond.policy.call import Call
 from workspond.policy.fleet import Fleet
 from workspond.policy.retry_controller import RetryController
@@ -35,21 +35,21 @@
     return usual + max(0.0, FEW - usual) * controller.open_share()
 
 
-class Admission:
+class AdmissionController:
     """Load shedding and the limit of calls in flight."""
 
     def __init__(
         self,
         settings: Settings,
         controller: RetryController,
-        record: ClassRecord,
+        record: ClassStatistics,
         fleet: Fleet,
-        usual: UsualDelay,
+        usual: TypicalDelay,
         rng: random.Random,
     ) -> None:
         self._settings, self._controller, self._record = settings, controller, record
         self._fleet, self._usual, self._rng = fleet, usual, rng
-        self._aims_ms = {cls.name: cls.aim_ms for cls in settings.classes}
+        self._objectives_ms = {cls.name: cls.objective_ms for cls in settings.classes}
 
     def window(self, part: float, now: float) -> float:
         """How many calls may be outstanding from a copy whose part of the fleet is so many servers."""
@@ -60,8 +60,8 @@
         shed = 0.0 if self._settings.tier else self._controller.shed_share(now)
         if not shed:
             return False
-        values = {name: self.value(name, False) for name in self._aims_ms}
-        own = self.value(call.cls.name, call.over_share)
+        values = {name: self.value(name, False) for name in self._objectives_ms}
+        own = self.value(call.cls.name, call.over_quota)
         less = sum(self._record.mix[name] for name, value in values.items() if value < own)
         return self._rng.random() * self._record.mix[call.cls.name] < shed - less
 
@@ -73,15 +73,15 @@
         # sulcast-porto-alegre silent+leave+brisk 12: of a window of 8 two stood on connections that had died.
         # It lets in a few too many where a class has far longer calls than the rest of them.
         working = inflight - lost_calls(now)
-        best = max(self.value(name, False) for name in self._aims_ms)
+        best = max(self.value(name, False) for name in self._objectives_ms)
         full = working >= (1.0 - RESERVE) * room
-        return full and (working >= room or self.value(call.cls.name, call.over_share) < best)
+        return full and (working >= room or self.value(call.cls.name, call.over_quota) < best)
 
-    def value(self, name: str, over_share: bool) -> float:
+    def value(self, name: str, over_quota: bool) -> float:
         """What an answer to a class is worth to the operators, for the time that it takes."""
         record, settings = self._record, self._settings
         worth = record.worth[name] / record.mean_worth()
         if record.in_time[name] <= record.worst():  # strict order of worth would starve it
-            worth += settings.worst_class / record.mix[name]
-        worth *= settings.over_share_worth if over_share else 1.0  # a flooding tenant waits behind
-        return worth / max(1.0, record.delay_ms[name] or self._usual.share * self._aims_ms[name])
+            worth += settings.worst_class_weight / record.mix[name]
+        worth *= settings.over_quota_fraction if over_quota else 1.0  # a flooding tenant waits behind
+        return worth / max(1.0, record.delay_ms[name] or self._usual.share * self._objectives_ms[name])
--- a/workspond/policy/averages.py
+++ b/workspond/policy/averages.py
@@ -11,7 +11,7 @@
 PEER_SAMPLES = 100.0  # answers over which what is usual among all servers is averaged
 
 
-class Rate:
+class EventRate:
     """Events a second, forgotten with a time constant; the clock starts with the first event."""
 
     __slots__ = ("_seen_ms", "_window_ms", "events", "span_s")
@@ -35,7 +35,7 @@
         return self.events / max(1.0, self.span_s)
 
 
-class Mean:
+class TimeWeightedMean:
     """A value's mean over time, forgotten with a time constant, as `Rate` forgets."""
 
     __slots__ = ("_last", "_seen_ms", "_window_ms", "value")
@@ -54,7 +54,7 @@
         self._last, self._seen_ms = value, now
 
 
-class SlidingCount:
+class SlidingWindowCounter:
     """Events within the last so many milliseconds, counted exactly, both ends included."""
 
     __slots__ = ("_span_ms", "_times")
@@ -73,7 +73,7 @@
         return len(self._times)
 
 
-class UsualDelay:
+class TypicalDelay:
     """The usual delay of an answer, as a share of its class's aim."""
 
     __slots__ = ("samples", "share")
@@ -87,11 +87,11 @@
         self.share += (share - self.share) / self.samples
 
 
-class ClassRecord:
+class ClassStatistics:
     """How each class of requests fares, in averages over so many requests."""
 
     def __init__(self, classes: Iterable[RequestClass], samples: float) -> None:
-        self._samples, self.worth = samples, {cls.name: cls.worth for cls in classes}
+        self._samples, self.worth = samples, {cls.name: cls.priority_weight for cls in classes}
         self.mix = dict.fromkeys(self.worth, 1.0 / len(self.worth))  # share of the requests
         self.in_time = dict.fromkeys(self.worth, 1.0)  # share answered within the aim
         self.delay_ms = dict.fromkeys(self.worth, 0.0)  # 0: not measured yet
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -19,8 +19,8 @@
     SetTimer,
     Subscribe,
 )
-from workspond.policy.admission import Admission
-from workspond.policy.averages import PEER_SAMPLES, ClassRecord, UsualDelay
+from workspond.policy.admission import AdmissionController
+from workspond.policy.averages import PEER_SAMPLES, ClassStatistics, TypicalDelay
 from workspond.policy.call import Call
 from workspond.policy.events import (
     AttemptEnded,
@@ -34,7 +34,7 @@
     UpdateKind,
 )
 from workspond.policy.fleet import Fleet
-from workspond.policy.idle_timeout import IdleLimit
+from workspond.policy.idle_timeout import IdleTimeout
 from workspond.policy.outlier_ejection import OutlierEjection
 from workspond.policy.request_queue import RequestQueue
 from workspond.policy.retry_controller import SAMPLES, RetryController
@@ -43,8 +43,8 @@
 from workspond.policy.server_selection import ServerSelector
 from workspond.policy.settings import DeduplicationScope, Idempotency, Settings
 from workspond.policy.slow_start import SlowStart
-from workspond.policy.subscription_backoff import wait_before_asking_ms
-from workspond.policy.token_bucket import Bucket
+from workspond.policy.subscription_backoff import subscription_backoff_ms
+from workspond.policy.token_bucket import TokenBucket
 
 QUOTA_MS = 1_000.0  # of its quota is what a tenant may send at once
 GROW_FROM = 1.0  # calls out a server from which a copy doubles its slices of the fleet
@@ -60,10 +60,10 @@
         self._rng = random.Random(salt)
         self.controller = RetryController()
         self.inflight = 0  # attempts out
-        self.usual_delay = UsualDelay()
-        self.record = ClassRecord(settings.classes, PEER_SAMPLES)
+        self.usual_delay = TypicalDelay()
+        self.record = ClassStatistics(settings.classes, PEER_SAMPLES)
         self.fleet = Fleet(settings, self._rng)
-        self.admission = Admission(
+        self.admission = AdmissionController(
             settings, self.controller, self.record, self.fleet, self.usual_delay, self._rng
         )
         self.retry_policy = RetryPolicy(settings, self._rng)
@@ -71,9 +71,9 @@
         self._selector = ServerSelector(self.fleet, self._slow_start, self.usual_delay, self._rng)
         self._ejection = OutlierEjection(self._rng)
         self._queue = RequestQueue()
-        self._idle_limit = IdleLimit(settings.keepalive_ms)
-        self._quotas: dict[str | None, tuple[float, Bucket]] = {  # this copy's part of each tenant's
-            tenant.name: (tenant.quota_per_s / settings.nodes / 1000.0, Bucket(math.inf, 0.0))
+        self._idle_limit = IdleTimeout(settings.keepalive_ms)
+        self._quotas: dict[str | None, tuple[float, TokenBucket]] = {  # this copy's part of each tenant's
+            tenant.name: (tenant.quota_per_s / settings.replicas / 1000.0, TokenBucket(math.inf, 0.0))
             for tenant in settings.tenants
             if tenant.quota_per_s
         }
@@ -95,20 +95,20 @@
             case EndpointUpdate():
                 self._on_list(event, now_ms)
             case RequestAbandoned():
-                self._calls.pop(event.id, None)
-            case NodeStarted() if self.settings.follow_list:
+                self._calls.pop(event.request_id, None)
+            case NodeStarted() if self.settings.requires_subscription:
                 self._actions.append(Subscribe())
         return self._actions
 
     # First sends
 
     def _on_request(self, event: RequestReceived, now: float) -> None:
-        call = self._calls[event.id] = Call(event, self.classes[event.cls], now)
-        self.record.asked(event.cls)
+        call = self._calls[event.request_id] = Call(event, self.classes[event.class_name], now)
+        self.record.asked(event.class_name)
         self.retry_policy.count_request(now)
         if event.tenant in self._quotas:
             per_ms, bucket = self._quotas[event.tenant]
-            call.over_share = not bucket.take(per_ms, max(1.0, QUOTA_MS * per_ms), now)
+            call.over_quota = not bucket.take(per_ms, max(1.0, QUOTA_MS * per_ms), now)
         if self.admission.sheds(call, now):
             return self._end(call)
         self._attempt(call, now)
@@ -116,7 +116,7 @@
     def _attempt(self, call: Call, now: float) -> None:
         crowded = self.admission.crowded(call, self.inflight, self._selector.lost_calls, now)
         server = None if crowded else self._selector.pick(call, now)
-        if crowded or (server is None and call.first_run_ms is None and self.fleet.ready_count):
+        if crowded or (server is None and call.first_possible_run_at_ms is None and self.fleet.ready_count):
             self._enqueue(call, now)
         elif server is None or not self._send(call, server, now):
             self._wait_or_end(call, now)
@@ -151,11 +151,11 @@
         """The one gate that every send passes: rules 1 to 6."""
         if not self._may_send(call, server, now):
             return False
-        cls, left_ms = call.cls, call.ends_ms - now
+        cls, left_ms = call.cls, call.deadline_at_ms - now
         if call.attempts:
             self.retry_policy.count_retry(now)
         call.attempts += 1
-        call.out, call.last_server, call.sent_ms = True, server, now
+        call.out, call.last_server, call.sent_at_ms = True, server, now
         self.inflight += 1
         if self.inflight > GROW_FROM * self.fleet.ready_count:
             self._selector.apply(self.fleet.grow(now), now)
@@ -163,23 +163,28 @@
         if self._idle_limit.exceeded(call.idle_ms):  # Rosario fresh-big: sent on a dropped one, it is lost
             self._actions.append(CloseIdleConnections(server.id))
             call.idle_ms = 0.0
-        server.calls[call.id] = now, cls.aim_ms
+        server.calls[call.id] = now, cls.objective_ms
         self._selector.update(server, now)
         measured = self.usual_delay.samples >= SAMPLES
         timeout_ms = self.retry_policy.attempt_timeout_ms(call, left_ms, self.usual_delay.share, measured)
-        within_ms = self.retry_policy.repeat_ends_ms(call) - now
-        fresh = cls.repeat is Idempotency.UNSAFE  # on a new connection: a loss could not be made good
-        self._actions.append(SendAttempt(call.id, server.id, timeout_ms, fresh, within_ms))
+        send_within_ms = self.retry_policy.repeat_ends_ms(call) - now
+        fresh = (
+            cls.idempotency is Idempotency.NON_IDEMPOTENT
+        )  # on a new connection: a loss could not be made good
+        self._actions.append(SendAttempt(call.id, server.id, timeout_ms, fresh, send_within_ms))
         return True
 
     def _may_send(self, call: Call, server: Server, now: float) -> bool:
         """Whether the rules let the call go to the server; takes from a cold one's budget."""
         cls, policy = call.cls, self.retry_policy
-        if call.id not in self._calls or call.out or call.ends_ms - now <= self.settings.tick_ms:
+        if call.id not in self._calls or call.out or call.deadline_at_ms - now <= self.settings.tick_ms:
             return False  # rule 1
         if call.attempts >= self.settings.max_attempts or not policy.repeatable(call, now):
             return False  # rule 2
-        if call.first_run_ms is not None and server.group(cls.group) != call.repeat_group:
+        if (
+            call.first_possible_run_at_ms is not None
+            and server.group(cls.deduplication_scope) != call.deduplication_group
+        ):
             return False  # rule 2
         if not server.in_service or not self.fleet.holds(server):
             return False  # rule 3
@@ -204,8 +209,15 @@
         """The one way to end a request unserved: refused where a repeat is harmless, else failed."""
         if self._calls.pop(call.id, None):
             self.record.ended(call.cls.name, False)
-            everywhere = call.cls.repeat is Idempotency.KEYED and call.cls.group is DeduplicationScope.ALL
-            repeatable = call.first_run_ms is None or everywhere or call.cls.repeat is Idempotency.SAFE
+            everywhere = (
+                call.cls.idempotency is Idempotency.KEYED
+                and call.cls.deduplication_scope is DeduplicationScope.ALL
+            )
+            repeatable = (
+                call.first_possible_run_at_ms is None
+                or everywhere
+                or call.cls.idempotency is Idempotency.IDEMPOTENT
+            )
             harmless = not call.out and repeatable
             # It says that the tier bears no more now: a client back in 17 ms, as a retry is, fed the jam.
             advice_ms = self.settings.max_retry_after_ms
@@ -229,13 +241,13 @@
     # Outcomes
 
     def _on_ended(self, event: AttemptEnded, now: float) -> None:
-        call, server = self._calls.get(event.id), self.fleet.servers.get(event.server)
+        call, server = self._calls.get(event.request_id), self.fleet.servers.get(event.server_id)
         self.inflight -= 1
         if server is not None:
             self._take_outcome(server, call, event, now)
-        if call is not None and event.settled:
-            del self._calls[event.id]
-            self.record.ended(call.cls.name, now - call.arrived_ms <= call.cls.aim_ms)
+        if call is not None and event.request_finished:
+            del self._calls[event.request_id]
+            self.record.ended(call.cls.name, now - call.arrived_at_ms <= call.cls.objective_ms)
             self.record.answered(call.cls.name, event.duration_ms)
         elif call is not None:
             self._retry(call, event, now)
@@ -243,53 +255,60 @@
 
     def _take_outcome(self, server: Server, call: Call | None, event: AttemptEnded, now: float) -> None:
         # None: sent before the server started anew, or left the list and came back: no news of it.
-        sent = server.calls.pop(event.id, None)
+        sent = server.calls.pop(event.request_id, None)
         server.used_ms = now
         if call is not None and call.idle_ms:
-            usual_ms = self.usual_delay.share * call.cls.aim_ms
-            self._idle_limit.judge(call.idle_ms, event.result, event.duration_ms, usual_ms)
+            usual_ms = self.usual_delay.share * call.cls.objective_ms
+            self._idle_limit.judge(call.idle_ms, event.outcome, event.duration_ms, usual_ms)
         if sent is None:
             return
-        if event.report:
-            server.queue, server.report_ms = event.report.get("queue", 0.0), now
-        self._ejection.learn(server, event.result, self._selector.ejected_share(now), now)
+        if event.load_report:
+            server.queue, server.report_ms = event.load_report.get("queue", 0.0), now
+        self._ejection.learn(server, event.outcome, self._selector.ejected_share(now), now)
         self._measure(server, *sent, event, now)
         self._selector.update(server, now)
 
     def _retry(self, call: Call, event: AttemptEnded, now: float) -> None:
         """Try a call again whose attempt has failed, as the loop and the class allow, or end it."""
         call.out = False
-        if call.first_run_ms is None and call.last_server and self.retry_policy.may_have_run(event.result):
-            call.first_run_ms, call.repeat_group = call.sent_ms, call.last_server.group(call.cls.group)
+        if (
+            call.first_possible_run_at_ms is None
+            and call.last_server
+            and self.retry_policy.may_have_run(event.outcome)
+        ):
+            call.first_possible_run_at_ms, call.deduplication_group = (
+                call.sent_at_ms,
+                call.last_server.group(call.cls.deduplication_scope),
+            )
         if self._rng.random() < self.controller.retry_probability(now):
             # As the paper's timer runs from the send, a time-out has been waited for already.
-            timed_out = event.result is Outcome.TIMEOUT
+            timed_out = event.outcome is Outcome.TIMEOUT
             self._wait_or_end(call, now, event.duration_ms if timed_out else 0.0)
         else:
             self._end(call)
 
     def _measure(
-        self, server: Server, sent_ms: float, aim_ms: float, event: AttemptEnded, now: float
+        self, server: Server, sent_at_ms: float, objective_ms: float, event: AttemptEnded, now: float
     ) -> None:
         """What an outcome tells of the delay, also if nobody waits for the answer any more.
 
         Callers that leave early leave what takes long: without theirs, delay and answer rate come out low.
         """
-        if event.result in (Outcome.SERVED, Outcome.TIMEOUT):
-            served = event.result is Outcome.SERVED
-            self.usual_delay.note(event.duration_ms / aim_ms)
+        if event.outcome in (Outcome.SUCCESS, Outcome.TIMEOUT):
+            served = event.outcome is Outcome.SUCCESS
+            self.usual_delay.note(event.duration_ms / objective_ms)
             usual = self.usual_delay.share
-            if usual and (served or sent_ms >= server.latest_served_ms):
-                server.judge_delay(event.duration_ms / aim_ms / usual, now)
+            if usual and (served or sent_at_ms >= server.latest_served_ms):
+                server.judge_delay(event.duration_ms / objective_ms / usual, now)
             if served:
-                server.latest_served_ms = max(server.latest_served_ms, sent_ms)
-            self.controller.answered(event.duration_ms, aim_ms, now, served)
-        elif event.result is Outcome.REFUSED:  # full is as slow as a server gets
-            self.controller.answered(aim_ms, aim_ms, now, False)
+                server.latest_served_ms = max(server.latest_served_ms, sent_at_ms)
+            self.controller.answered(event.duration_ms, objective_ms, now, served)
+        elif event.outcome is Outcome.REJECTED:  # full is as slow as a server gets
+            self.controller.answered(objective_ms, objective_ms, now, False)
 
     def _on_list(self, event: EndpointUpdate, now: float) -> None:
         if event.kind is UpdateKind.FAILED:
-            wait_ms = wait_before_asking_ms(self.settings.ask_every_ms, self._rng)
+            wait_ms = subscription_backoff_ms(self.settings.poll_interval_ms, self._rng)
             return self._actions.append(SetTimer(SUBSCRIBE_TOKEN, wait_ms))
         self._selector.apply(self.fleet.apply(event, now), now)
         self._release(now)
--- a/workspond/policy/endpoint.py
+++ b/workspond/policy/endpoint.py
@@ -11,17 +11,17 @@
 
     IN_SERVICE = "in_service"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "removed"
 
 
 @dataclass(slots=True)
 class Endpoint:
     """One server as discovery lists it."""
 
-    server: int
+    server_id: int
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     cell: int = 0
-    health: EndpointState = EndpointState.IN_SERVICE
-    share: float = 1.0
-    started_ms: float | None = None  # None: long ago
+    state: EndpointState = EndpointState.IN_SERVICE
+    weight: float = 1.0
+    started_at_ms: float | None = None  # None: long ago
--- a/workspond/policy/events.py
+++ b/workspond/policy/events.py
@@ -14,27 +14,27 @@
 class UpdateKind(Enum):
     """What a piece of news from discovery is."""
 
-    CHANGES = "changes"  # only the entries that changed
-    FULL = "full"  # replaces the old list
-    SAVED = "saved"  # the list as the node last had it, perhaps old
+    INCREMENTAL = "incremental"  # only the entries that changed
+    COMPLETE = "complete"  # replaces the old list
+    CACHED = "cached"  # the list as the node last had it, perhaps old
     FAILED = "failed"  # a subscription or call failed or broke; no entries
 
 
 class Outcome(IntEnum):
     """How an attempt ended.
 
-    `REFUSED`, `UNREACHABLE` and `MOOT` prove that it never ran, but for `REFUSED` where the settings
-    say so (`full_may_have_run`).
+    `REJECTED`, `CONNECT_FAILED` and `NOT_SENT` prove that it never ran, but for `REJECTED` where the settings
+    say so (`rejected_may_have_run`).
     """
 
-    SERVED = 0
+    SUCCESS = 0
     ERROR = 1
-    REFUSED = 2
+    REJECTED = 2
     TIMEOUT = 3
-    UNREACHABLE = 4
+    CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_SENT = 7
 
 
 @dataclass(slots=True)
@@ -48,47 +48,47 @@
 
     kind: UpdateKind
     version: int = 0
-    entries: list[Endpoint] = field(default_factory=list)
+    endpoints: list[Endpoint] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class RequestReceived:
     """The node has accepted a request and owes it one final answer."""
 
-    id: str
-    cls: str
+    request_id: str
+    class_name: str
     ttl_ms: float
     tenant: str | None = None
-    client_retry: bool = False
+    is_client_retry: bool = False
 
 
 @dataclass(slots=True)
 class AttemptEnded:
     """An attempt is over. `settled`: nothing more is owed for the request."""
 
-    id: str
-    attempt: int
-    server: int
-    result: Outcome
+    request_id: str
+    attempt_number: int
+    server_id: int
+    outcome: Outcome
     duration_ms: float
-    settled: bool
-    report: dict[str, float] | None = None
+    request_finished: bool
+    load_report: dict[str, float] | None = None
 
 
 @dataclass(slots=True)
 class StreamStarted:
     """The answer to an attempt has begun to flow; the request is bound to it."""
 
-    id: str
-    attempt: int
-    server: int
+    request_id: str
+    attempt_number: int
+    server_id: int
 
 
 @dataclass(slots=True)
 class RequestAbandoned:
     """Nobody waits for this request any more."""
 
-    id: str
+    request_id: str
 
 
 @dataclass(slots=True)
--- a/workspond/policy/fleet.py
+++ b/workspond/policy/fleet.py
@@ -13,7 +13,7 @@
 from workspond.policy.server import Server
 from workspond.policy.settings import DeduplicationScope, Settings
 from workspond.policy.subset import Subset
-from workspond.policy.token_bucket import Bucket
+from workspond.policy.token_bucket import TokenBucket
 
 SLICES = 4  # of the fleet, each cut evenly among all copies: few servers, so that a copy sees each often
 
@@ -30,12 +30,12 @@
     """All listed servers, and those of them that are this copy's to use."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        self._nodes, self._rng = settings.nodes, rng
+        self._nodes, self._rng = settings.replicas, rng
         self.servers: dict[int, Server] = {}
         self._ready: dict[int, Server] = {}  # those in service that are this copy's to use
-        self._subset = Subset(settings.number, settings.nodes, SLICES)
+        self._subset = Subset(settings.replica_index, settings.replicas, SLICES)
         self._groups = GroupIndex()  # those in service
-        self._group_kinds = {cls.group for cls in settings.classes}
+        self._group_kinds = {cls.deduplication_scope for cls in settings.classes}
         self.parts = 0.0  # the sum of what is its to use of them
 
     @property
@@ -69,19 +69,19 @@
     def apply(self, news: EndpointUpdate, now: float) -> FleetChange:
         """Take changes, or a whole list that replaces the old one."""
         change = FleetChange()
-        if news.kind is not UpdateKind.CHANGES:
-            named = {entry.server for entry in news.entries}
+        if news.kind is not UpdateKind.INCREMENTAL:
+            named = {entry.server_id for entry in news.endpoints}
             for id in self.servers.keys() - named:
                 self._remove(self.servers[id], change)
-        for entry in news.entries:
+        for entry in news.endpoints:
             self._take(entry, now, change)
         self._subset.use_slices(SLICES)
         self._recut(now, change)
         return change
 
     def _take(self, entry: Endpoint, now: float, change: FleetChange) -> None:
-        server = self.servers.get(entry.server)
-        if entry.health is EndpointState.GONE:
+        server = self.servers.get(entry.server_id)
+        if entry.state is EndpointState.REMOVED:
             if server is not None:
                 self._remove(server, change)
             return
@@ -89,7 +89,7 @@
             self._remove(server, change)  # of a new process nothing is known, also where one of that name was
             server = None
         if server is None:
-            server = self.servers[entry.server] = Server(entry, now, self._rng)
+            server = self.servers[entry.server_id] = Server(entry, now, self._rng)
         elif not server.update(entry):
             return
         if not self.uses(server):
@@ -115,8 +115,8 @@
 
     def draw_repeat_group(self, call: Call, most: int) -> list[Server]:
         """Servers that a call which may have run can still go to, so many at most."""
-        group: DeduplicationScope = call.cls.group
-        return self._groups.draw((group, call.repeat_group), most, self._rng)
+        group: DeduplicationScope = call.cls.deduplication_scope
+        return self._groups.draw((group, call.deduplication_group), most, self._rng)
 
     def grow(self, now: float) -> FleetChange:
         """Use twice as many slices, where there are more: a busy caller needs more of the fleet."""
@@ -140,7 +140,7 @@
             server = self.servers[id]
             if used is None:  # it has saved up nothing while it was not this copy's
                 self._ready[id] = server
-                server.budget = Bucket(min(server.budget.tokens, self._rng.random()), now)
+                server.budget = TokenBucket(min(server.budget.tokens, self._rng.random()), now)
             server.part = part
             change.touched.append(server)
         if changed:
--- a/workspond/policy/idle_timeout.py
+++ b/workspond/policy/idle_timeout.py
@@ -11,7 +11,7 @@
 GONE_SHARE = 0.1  # of the usual delay: a reset that soon came from a connection that was gone already
 
 
-class IdleLimit:
+class IdleTimeout:
     """The idle time from which connections are closed before use, learnt from what is lost on them."""
 
     def __init__(self, keepalive_ms: float) -> None:
@@ -30,7 +30,7 @@
         if result is Outcome.RESET and duration_ms < GONE_SHARE * usual_ms:
             self._limit_ms = min(self._limit_ms, IDLE_CUT * max(idle_ms, self._gone_ms))
             self._gone_ms = idle_ms
-        elif result is Outcome.SERVED:
+        elif result is Outcome.SUCCESS:
             self._limit_ms *= IDLE_GROWTH
         # rota quiet: time-outs of slow calls, on connections that had idled for 0.2 s of 60, closed a third.
         if idle_ms < IDLE_LEAST * self._keepalive_ms:
@@ -38,5 +38,5 @@
         if result in (Outcome.TIMEOUT, Outcome.RESET):
             self._limit_ms = min(self._limit_ms, IDLE_CUT * max(idle_ms, self._lost_ms))
             self._lost_ms = min(self._lost_ms, idle_ms)
-        elif result is Outcome.SERVED and idle_ms >= self._lost_ms:
+        elif result is Outcome.SUCCESS and idle_ms >= self._lost_ms:
             self._lost_ms = math.inf
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -25,15 +25,15 @@
 
     def learn(self, server: Server, result: Outcome, ejected_share: float, now: float) -> None:
         """What an outcome tells of the server's health; `ejected_share`: of its peers that are out now."""
-        if result in (Outcome.REFUSED, Outcome.UNREACHABLE):
+        if result in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             held = min(server.inflight_limit, float(server.inflight))
             server.inflight_limit = max(1.0, held * LIMIT_CUT)
-            if result is Outcome.UNREACHABLE and not server.inflight:  # down, or out of connections
+            if result is Outcome.CONNECT_FAILED and not server.inflight:  # down, or out of connections
                 self._eject(server, now)
-        elif result is Outcome.SERVED:
+        elif result is Outcome.SUCCESS:
             server.inflight_limit += 1.0 / server.inflight_limit
-        if result in (Outcome.SERVED, Outcome.ERROR, Outcome.RESET):
-            self._weigh(server, result is not Outcome.SERVED, ejected_share, now)
+        if result in (Outcome.SUCCESS, Outcome.ERROR, Outcome.RESET):
+            self._weigh(server, result is not Outcome.SUCCESS, ejected_share, now)
 
     def _weigh(self, server: Server, bad: bool, ejected_share: float, now: float) -> None:
         # Fast errors look like low delay: weigh failing half its calls against failing like its peers.
--- a/workspond/policy/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -8,7 +8,7 @@
 
 import math
 
-from workspond.policy.averages import Rate
+from workspond.policy.averages import EventRate
 
 TARGET_SHARE = 0.4  # tau0, the target round trip delay, as a share of the aim of what was answered
 SHED_MOST = 0.8  # of first sends may be shed for delay: the rest keeps the measurement going
@@ -23,14 +23,17 @@
 
     def __init__(self) -> None:
         self._kp, self._ki = math.sin(PHASE_MARGIN), math.cos(PHASE_MARGIN)  # equations 40, 41 over nu1
-        self.answers, self.failures = Rate(RATE_WINDOW_MS), Rate(RATE_WINDOW_MS)  # nu1, in answers a second
+        self.answers, self.failures = (
+            EventRate(RATE_WINDOW_MS),
+            EventRate(RATE_WINDOW_MS),
+        )  # nu1, in answers a second
         self._excess_s = self._aim_s = self._samples = 0.0  # sums over the last samples,
         self._last_ms = math.inf  # and when the last was taken
         # nu10, the answer rate that the gains are tuned to; KI times the integral of the error, a rate; r
         self.tuned_rate = self.integral = self.allowed_rate = 0.0
         self._excess = self._shed = 0.0  # integral for first sends, by nu1; the share of them to shed
 
-    def answered(self, delay_ms: float, aim_ms: float, now: float, served: bool) -> None:
+    def answered(self, delay_ms: float, objective_ms: float, now: float, served: bool) -> None:
         """Take a delay sample and set r = KP e + KI * integral of e, clamped with its integral."""
         # Its own clock: the window reads the rate too, and the integral once ran on what time was left.
         faded = math.exp(min(0.0, self._last_ms - now) / RATE_WINDOW_MS)
@@ -40,8 +43,8 @@
         # Old samples fade with time too: a copy that sheds gets few new ones, and went on shedding for these.
         kept = min(1.0 - 1.0 / SAMPLES, faded)
         self._samples = self._samples * kept + 1.0
-        self._aim_s = self._aim_s * kept + aim_ms / 1000.0
-        self._excess_s = self._excess_s * kept + (TARGET_SHARE * aim_ms - delay_ms) / 1000.0
+        self._aim_s = self._aim_s * kept + objective_ms / 1000.0
+        self._excess_s = self._excess_s * kept + (TARGET_SHARE * objective_ms - delay_ms) / 1000.0
         rate = self.answers.per_s()
         if not RETUNE_BAND[0] * self.tuned_rate <= rate <= RETUNE_BAND[1] * self.tuned_rate:
             # A copy starts with its retries open; later a retune keeps the share of retries it allows.
--- a/workspond/policy/retry_policy.py
+++ b/workspond/policy/retry_policy.py
@@ -9,7 +9,7 @@
 import math
 import random
 
-from workspond.policy.averages import SlidingCount
+from workspond.policy.averages import SlidingWindowCounter
 from workspond.policy.call import Call
 from workspond.policy.events import Outcome
 from workspond.policy.settings import Idempotency, Settings
@@ -19,7 +19,7 @@
 PATIENT_DELAYS = 8.0  # times its usual delay: the longest that an attempt is waited for,
 FIRST_DELAYS = 4.0  # and that the first is, where another may follow: time enough for it within the aim
 FIRST_SHARE = 1.25  # of the aim by which that one's answer is usual; later it is worth little
-NEVER_RAN = frozenset((Outcome.REFUSED, Outcome.UNREACHABLE, Outcome.MOOT))
+NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 class RetryPolicy:
@@ -28,9 +28,9 @@
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._settings, self._rng = settings, rng
         # A tick to spare at both edges of the window that the budget of attempts is counted over.
-        self._taken = SlidingCount(settings.resend_span_ms - settings.tick_ms)
-        self._further = SlidingCount(settings.resend_span_ms + settings.tick_ms)
-        self._never_ran = NEVER_RAN - ({Outcome.REFUSED} if settings.full_may_have_run else set())
+        self._taken = SlidingWindowCounter(settings.retry_budget_window_ms - settings.tick_ms)
+        self._further = SlidingWindowCounter(settings.retry_budget_window_ms + settings.tick_ms)
+        self._never_ran = NEVER_RAN - ({Outcome.REJECTED} if settings.rejected_may_have_run else set())
 
     def count_request(self, now: float) -> None:
         """Count a request for the budget of further attempts."""
@@ -42,8 +42,10 @@
 
     def in_budget(self, now: float) -> bool:
         """Whether the stated budget of attempts beyond the first bears one more now."""
-        ratio, taken = self._settings.repeat_ratio, self._taken.count(now)
-        return ratio is None or self._further.count(now) + 1 <= self._settings.extra_floor + ratio * taken
+        ratio, taken = self._settings.retry_budget_ratio, self._taken.count(now)
+        return (
+            ratio is None or self._further.count(now) + 1 <= self._settings.retry_budget_floor + ratio * taken
+        )
 
     def may_have_run(self, result: Outcome) -> bool:
         """Whether an attempt that ended so may have run."""
@@ -55,14 +57,14 @@
 
     def repeat_ends_ms(self, call: Call) -> float:
         """From when on the call must not go out (again)."""
-        if call.first_run_ms is None or call.cls.repeat is Idempotency.SAFE:
+        if call.first_possible_run_at_ms is None or call.cls.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
-        if call.cls.repeat is Idempotency.UNSAFE:
+        if call.cls.idempotency is Idempotency.NON_IDEMPOTENT:
             return -math.inf
-        return call.first_run_ms + call.cls.window_ms - self._settings.tick_ms
+        return call.first_possible_run_at_ms + call.cls.deduplication_window_ms - self._settings.tick_ms
 
     def _backoff_ms(self, call: Call) -> float:
-        base = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * call.cls.aim_ms)
+        base = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * call.cls.objective_ms)
         return base * 2.0 ** max(0, call.attempts - 1)
 
     def next_wait_ms(self, call: Call, now: float, usual_share: float, waited_ms: float) -> float | None:
@@ -72,14 +74,14 @@
         """
         wait_ms = max(0.0, self._backoff_ms(call) * (0.5 + self._rng.random()) - waited_ms)
         # Its answer must still be able to come: tier 0 sent retries with 3 ms left, all of them waste.
-        starts_ms = now + wait_ms + max(2.0 * self._settings.tick_ms, usual_share * call.cls.aim_ms)
+        starts_ms = now + wait_ms + max(2.0 * self._settings.tick_ms, usual_share * call.cls.objective_ms)
         more = call.attempts < self._settings.max_attempts and self.repeatable(call, starts_ms)
-        return wait_ms if starts_ms < call.worth_until_ms and more else None
+        return wait_ms if starts_ms < call.useful_until_ms and more else None
 
     def attempt_timeout_ms(self, call: Call, left_ms: float, usual_share: float, measured: bool) -> float:
         """How long the attempt that has just been counted is waited for; `measured`: the usual delay is."""
         cls, settings = call.cls, self._settings
-        once = cls.repeat is Idempotency.UNSAFE
+        once = cls.idempotency is Idempotency.NON_IDEMPOTENT
         last = once or call.attempts == settings.max_attempts
         longest_ms = left_ms if last else TIMEOUT_SHARE * left_ms
         # i2750ee: calls to a lost zone that wait out a whole deadline fill the slots of the tier above.
@@ -90,5 +92,5 @@
         in_time = (FIRST_DELAYS + 1.0) * usual_share <= FIRST_SHARE / (1 + settings.tier)
         delays = FIRST_DELAYS if call.attempts == 1 and not once and in_time else PATIENT_DELAYS
         # The retry waits its back-off from this send in any case: given up sooner, an attempt is only lost.
-        usual_ms = max(delays * usual_share * cls.aim_ms, self._backoff_ms(call))
+        usual_ms = max(delays * usual_share * cls.objective_ms, self._backoff_ms(call))
         return min(usual_ms if measured else left_ms, longest_ms)
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -8,10 +8,10 @@
 
 from workspond.policy.endpoint import Endpoint, EndpointState
 from workspond.policy.settings import DeduplicationScope
-from workspond.policy.token_bucket import Bucket
+from workspond.policy.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
-    from workspond.policy.weighted_round_robin import Place
+    from workspond.policy.weighted_round_robin import RotationEntry
 
 SLOW_FROM = 1.5  # times its peers' delay, from which a server counts as slow,
 SLOW_POWER = 4.0  # and how steeply its weight falls then, so that it gets rest
@@ -53,14 +53,14 @@
         "share",
         "slow_ms",
         "slowness",
-        "started_ms",
+        "started_at_ms",
         "used_ms",
         "weight",
         "zone",
     )
 
     def __init__(self, entry: Endpoint, now: float, rng: random.Random) -> None:
-        self.id = entry.server
+        self.id = entry.server_id
         self.calls: dict[str, tuple[float, float]] = {}  # when each call out was sent, and its aim
         self.latest_served_ms = -math.inf  # when the latest sent of the calls that it served was sent
         self.queue, self.report_ms = 0.0, now  # requests it last said were waiting there, and when it did
@@ -69,12 +69,12 @@
         self.used_ms = now  # when a connection to it was last in use
         self.error_log_odds = 0.0  # that it fails much more often than its peers
         self.inflight_limit = math.inf  # once it has turned an attempt away
-        self.budget = Bucket(rng.random(), now)  # while cold; random, as all copies learn of it at once
+        self.budget = TokenBucket(rng.random(), now)  # while cold; random, as all copies learn of it at once
         self.budget_per_ms = 0.0  # what came into it when it was last looked at
         self._read(entry)
         self.part = self.share  # of it that is this copy's to use
         # What the selection of servers last found, see `server_selection`.
-        self.place: Place | None = None  # in a rotation
+        self.place: RotationEntry | None = None  # in a rotation
         self.credit = 0.0  # in rounds of the rotation, while it has no place
         self.weight = 0.0  # 0: not in any rotation yet
         self.counted_weight = 0.0  # of it in the sum of all
@@ -83,17 +83,20 @@
 
     def update(self, entry: Endpoint) -> bool:
         """Take what the list now says of it; whether anything is new."""
-        known = self.zone, self.cell, self.share, self.in_service, self.started_ms
+        known = self.zone, self.cell, self.share, self.in_service, self.started_at_ms
         self._read(entry)
-        return known != (self.zone, self.cell, self.share, self.in_service, self.started_ms)
+        return known != (self.zone, self.cell, self.share, self.in_service, self.started_at_ms)
 
     def _read(self, entry: Endpoint) -> None:
-        self.zone, self.cell, self.share = entry.zone, entry.cell, max(entry.share, 0.0)
-        self.in_service, self.started_ms = entry.health is EndpointState.IN_SERVICE, entry.started_ms
+        self.zone, self.cell, self.share = entry.zone, entry.cell, max(entry.weight, 0.0)
+        self.in_service, self.started_at_ms = entry.state is EndpointState.IN_SERVICE, entry.started_at_ms
 
     def restarted(self, entry: Endpoint) -> bool:
         """Whether the entry tells of a later start than the one known."""
-        return entry.started_ms is not None and entry.started_ms > (self.started_ms or -math.inf) + RESTART_MS
+        return (
+            entry.started_at_ms is not None
+            and entry.started_at_ms > (self.started_at_ms or -math.inf) + RESTART_MS
+        )
 
     @property
     def inflight(self) -> int:
@@ -147,17 +150,17 @@
             overdue_ms = waiting[0] + OVERDUE * max(slowness, SLOW_FROM) * usual_share * waiting[1]
             step_ms = now + max(1.0, WEIGHT_STEP / SLOW_POWER * (now - waiting[0]))
             due_ms = min(due_ms, max(overdue_ms, step_ms))
-        for sent_ms, aim_ms in self.calls.values():
-            lost_ms = sent_ms + LOST * usual_share * aim_ms
-            if sent_ms < self.latest_served_ms and now <= lost_ms:
+        for sent_at_ms, objective_ms in self.calls.values():
+            lost_ms = sent_at_ms + LOST * usual_share * objective_ms
+            if sent_at_ms < self.latest_served_ms and now <= lost_ms:
                 due_ms = min(due_ms, lost_ms + 1.0)
         return due_ms
 
     def lost_calls(self, now: float, usual_share: float) -> int:
         """How many of its calls out it can't be working on, as far as can be told."""
         return sum(
-            sent_ms < self.latest_served_ms and now - sent_ms > LOST * usual_share * aim_ms
-            for sent_ms, aim_ms in self.calls.values()
+            sent_at_ms < self.latest_served_ms and now - sent_at_ms > LOST * usual_share * objective_ms
+            for sent_at_ms, objective_ms in self.calls.values()
         )
 
     def group(self, group: DeduplicationScope) -> str | int | None:
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -13,7 +13,7 @@
 import random
 from dataclasses import dataclass
 
-from workspond.policy.averages import UsualDelay
+from workspond.policy.averages import TypicalDelay
 from workspond.policy.call import Call
 from workspond.policy.fleet import Fleet, FleetChange
 from workspond.policy.server import Server
@@ -49,7 +49,7 @@
 class ServerSelector:
     """Picks a call's next server."""
 
-    def __init__(self, fleet: Fleet, slow_start: SlowStart, usual: UsualDelay, rng: random.Random) -> None:
+    def __init__(self, fleet: Fleet, slow_start: SlowStart, usual: TypicalDelay, rng: random.Random) -> None:
         self._fleet, self._slow_start, self._usual, self._rng = fleet, slow_start, usual, rng
         self._open, self._ejected = Rotation(), Rotation()
         self._due: list[tuple[float, int, Server]] = []  # a heap; entries unlike a server's `due_ms` are old
@@ -147,7 +147,7 @@
 
     def pick(self, call: Call, now: float) -> Server | None:
         """The server for the call's next attempt; None where none may get one now."""
-        if call.first_run_ms is not None:
+        if call.first_possible_run_at_ms is not None:
             return self._pick_in_group(call, now)
         self.refresh(now)
         if self._fleet.parts:
