--- a/workspond/policy/settings.py
+++ b/workspond/policy/settings.py
@@ -6,17 +6,31 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Set
 from dataclasses import dataclass, field, fields
 from enum import Enum
-from typing import Any
+
+NON_NEGATIVE_SUFFIXES = ("_ms", "_price")
+NON_NEGATIVE_NAMES = frozenset(("retry_budget_floor", "worst_class_weight"))
+MINIMUM_COUNTS = {"replicas": 1, "tiers": 1, "max_attempts": 1, "replica_index": 0, "tier": 0}
+
+
+class InvalidSettingError(ValueError):
+    """A setting that cannot be meant."""
+
+    def __init__(self, name: str, problem: str) -> None:
+        """`name` is that of the field, with its owner where that is a class or a tenant."""
+        super().__init__(f"{name}: {problem}")
+        self.name = name
+        self.problem = problem
 
 
 class Idempotency(Enum):
     """May a request of a class run more than once?"""
 
-    SAFE = "safe"  # any number of times
+    IDEMPOTENT = "idempotent"  # any number of times
     KEYED = "keyed"  # servers of one group drop the repeats that arrive within a window
-    UNSAFE = "unsafe"  # never
+    NON_IDEMPOTENT = "non_idempotent"  # never
 
 
 class DeduplicationScope(Enum):
@@ -27,23 +41,18 @@
     CELL = "cell"
 
 
-def vars_of(settings: Any) -> dict[str, Any]:
-    """The fields of a dataclass by name."""
-    return {f.name: getattr(settings, f.name) for f in fields(settings)}
-
-
 @dataclass(slots=True)
 class RequestClass:
     """One class of requests."""
 
     name: str
-    aim_ms: float  # an answer within this earns the whole worth
+    objective_ms: float  # an answer within this earns the whole worth
     deadline_ms: float  # how long a client waits in all, over all its tries
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth for an answer between aim and deadline
-    repeat: Idempotency = Idempotency.UNSAFE
-    group: DeduplicationScope = DeduplicationScope.ALL
-    window_ms: float = 0.0
+    priority_weight: float = 1.0
+    late_fraction: float = 0.0  # share of the worth for an answer between aim and deadline
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
 
 
 @dataclass(slots=True)
@@ -51,7 +60,7 @@
     """One of those who share the service."""
 
     name: str
-    share: float = 0.0
+    quota_fraction: float = 0.0
     quota_per_s: float = 0.0  # over all nodes; what goes beyond is worth little
 
 
@@ -61,16 +70,16 @@
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
-    over_share_worth: float = 1.0
-    worst_class: float = 0.0  # what the worst-served class counts for, over what all worth does
+    over_quota_fraction: float = 1.0
+    worst_class_weight: float = 0.0  # what the worst-served class counts for, over what all worth does
     zone: str = ""
-    nodes: int = 1  # balancer copies that send to the same tier
-    number: int = 0  # this copy's own among them, from 0
+    replicas: int = 1  # balancer copies that send to the same tier
+    replica_index: int = 0  # this copy's own among them, from 0
     tier: int = 0  # the tier this copy sends to, 0 being the clients' first
     tiers: int = 1
     passes_deadline: bool = True  # a caller's remaining time comes along with its call
-    follow_list: bool = False  # news of the server list must be asked for
-    ask_every_ms: float = 10_000.0
+    requires_subscription: bool = False  # news of the server list must be asked for
+    poll_interval_ms: float = 10_000.0
     max_attempts: int = 1
     parallel_attempts: bool = False
     can_cancel: bool = False
@@ -83,44 +92,65 @@
     start_capacity: float = 1.0
     ramp_time_ms: float = 0.0
     overload_factor: float = 1.0
-    overload_for_ms: float = 1_000.0
-    repeat_ratio: float | None = None  # attempts beyond the first, by request taken; None: no such budget
-    extra_floor: float = 0.0  # so many more are free,
-    resend_span_ms: float = 0.0  # in any window of this length
-    full_may_have_run: bool = False  # `REFUSED` is no proof that the attempt never ran
+    overload_window_ms: float = 1_000.0
+    retry_budget_ratio: float | None = (
+        None  # attempts beyond the first, by request taken; None: no such budget
+    )
+    retry_budget_floor: float = 0.0  # so many more are free,
+    retry_budget_window_ms: float = 0.0  # in any window of this length
+    rejected_may_have_run: bool = False  # `Outcome.REJECTED` is no proof that the attempt never ran
     cross_zone_price: float = 0.0
     handshake_price: float = 0.0  # of new connections, by first try; as the share of the service's worth
 
     def __post_init__(self) -> None:
-        """Refuse settings that cannot be meant."""
-        if not self.classes:
-            raise ValueError("classes: at least one is needed")
-        if len({cls.name for cls in self.classes}) < len(self.classes):
-            raise ValueError("classes: two have the same name")
-        times = {
-            name: value
-            for name, value in vars_of(self).items()
-            if name.endswith("_ms") or name.endswith("_price") or name in ("extra_floor", "worst_class")
-        }
-        for cls in self.classes:
-            times |= {f"classes[{cls.name}].{n}": v for n, v in vars_of(cls).items() if n.endswith("_ms")}
-            times[f"classes[{cls.name}].worth"] = cls.worth
-        for tenant in self.tenants:
-            times[f"tenants[{tenant.name}].quota_per_s"] = tenant.quota_per_s
-        for name, value in times.items():
+        """Refuse settings that cannot be meant; raises `InvalidSettingError`."""
+        self._check_classes()
+        for name, value in self._non_negative_values().items():
             if not 0.0 <= value < math.inf:
-                raise ValueError(f"{name}: {value} is negative or not finite")
-        for cls in self.classes:
-            if not cls.aim_ms:
-                raise ValueError(f"classes[{cls.name}].aim_ms: must be above 0")
-        shares = {"start_capacity": self.start_capacity, "over_share_worth": self.over_share_worth}
-        shares |= {f"classes[{cls.name}].late_worth": cls.late_worth for cls in self.classes}
-        shares |= {f"tenants[{tenant.name}].share": tenant.share for tenant in self.tenants}
-        if self.repeat_ratio is not None:
-            shares["repeat_ratio"] = self.repeat_ratio
-        for name, value in shares.items():
+                raise InvalidSettingError(name, f"{value} is negative or not finite")
+        for request_class in self.classes:
+            if not request_class.objective_ms:
+                name = f"classes[{request_class.name}].objective_ms"
+                raise InvalidSettingError(name, "must be above 0")
+        for name, value in self._fractions().items():
             if not 0.0 <= value <= 1.0:
-                raise ValueError(f"{name}: {value} is not within 0 to 1")
-        for name, least in (("nodes", 1), ("tiers", 1), ("max_attempts", 1), ("number", 0), ("tier", 0)):
-            if getattr(self, name) < least:
-                raise ValueError(f"{name}: {getattr(self, name)} is less than {least}")
+                raise InvalidSettingError(name, f"{value} is not within 0 to 1")
+        for name, minimum in MINIMUM_COUNTS.items():
+            if getattr(self, name) < minimum:
+                raise InvalidSettingError(name, f"{getattr(self, name)} is less than {minimum}")
+
+    def _check_classes(self) -> None:
+        if not self.classes:
+            raise InvalidSettingError("classes", "at least one is needed")
+        if len({request_class.name for request_class in self.classes}) < len(self.classes):
+            raise InvalidSettingError("classes", "two have the same name")
+
+    def _non_negative_values(self) -> dict[str, float]:
+        """All figures that must be finite and not negative, by the name that an error gives them."""
+        values = _figures(self, NON_NEGATIVE_SUFFIXES, NON_NEGATIVE_NAMES)
+        for request_class in self.classes:
+            figures = _figures(request_class, NON_NEGATIVE_SUFFIXES, {"priority_weight"})
+            values |= {f"classes[{request_class.name}].{name}": value for name, value in figures.items()}
+        for tenant in self.tenants:
+            values[f"tenants[{tenant.name}].quota_per_s"] = tenant.quota_per_s
+        return values
+
+    def _fractions(self) -> dict[str, float]:
+        """All figures that must be within 0 to 1, by the name that an error gives them."""
+        values = {"start_capacity": self.start_capacity, "over_quota_fraction": self.over_quota_fraction}
+        for request_class in self.classes:
+            values[f"classes[{request_class.name}].late_fraction"] = request_class.late_fraction
+        for tenant in self.tenants:
+            values[f"tenants[{tenant.name}].quota_fraction"] = tenant.quota_fraction
+        if self.retry_budget_ratio is not None:
+            values["retry_budget_ratio"] = self.retry_budget_ratio
+        return values
+
+
+def _figures(owner: Settings | RequestClass, suffixes: tuple[str, ...], names: Set[str]) -> dict[str, float]:
+    """The fields of a dataclass whose name has one of the suffixes, or is one of the names."""
+    return {
+        field.name: getattr(owner, field.name)
+        for field in fields(owner)
+        if field.name.endswith(suffixes) or field.name in names
+    }
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -7,7 +7,7 @@
 
 import math
 
-from workspond.policy.averages import Mean
+from workspond.policy.averages import TimeWeightedMean
 from workspond.policy.retry_controller import RATE_WINDOW_MS, RetryController
 from workspond.policy.server import WEIGHT_STEP, Server
 from workspond.policy.settings import Settings
@@ -25,18 +25,18 @@
 
     def __init__(self, settings: Settings, controller: RetryController) -> None:
         self._settings, self._controller = settings, controller
-        self._longest_aim_ms = max(cls.aim_ms for cls in settings.classes)
+        self._longest_aim_ms = max(cls.objective_ms for cls in settings.classes)
         # Of the ready servers, what is warm, in the mean over the time that the answer rate is of; and the
         # calls a ms that a warm one answered, over the time in which one warms up.
-        self._warm = Mean(RATE_WINDOW_MS)
-        self._bears = Mean(max(RATE_WINDOW_MS, settings.ramp_time_ms))
+        self._warm = TimeWeightedMean(RATE_WINDOW_MS)
+        self._bears = TimeWeightedMean(max(RATE_WINDOW_MS, settings.ramp_time_ms))
 
     def warmth(self, server: Server, now: float) -> float:
         """The share of its capacity that a server surely has by now."""
         settings = self._settings
-        if server.started_ms is None or not settings.ramp_time_ms:
+        if server.started_at_ms is None or not settings.ramp_time_ms:
             return 1.0
-        ramp = min(1.0, max(0.0, (now - server.started_ms) / settings.ramp_time_ms))
+        ramp = min(1.0, max(0.0, (now - server.started_at_ms) / settings.ramp_time_ms))
         return settings.start_capacity + (1.0 - settings.start_capacity) * ramp
 
     def note_warm_share(self, share: float, now: float) -> None:
@@ -61,7 +61,7 @@
         # A server is looked at now and then: between two looks its budget grew at the mean of both rates.
         mean_per_ms = (per_ms + (server.budget_per_ms or per_ms)) / 2.0
         server.budget_per_ms = per_ms
-        return server.budget.refill(mean_per_ms, max(1.0, per_ms * self._settings.overload_for_ms), now)
+        return server.budget.refill(mean_per_ms, max(1.0, per_ms * self._settings.overload_window_ms), now)
 
     def changes_ms(self, server: Server, warmth: float, now: float) -> float:
         """When a server will be warmer by more than a little, or may have a budget again."""
--- a/workspond/policy/subscription_backoff.py
+++ b/workspond/policy/subscription_backoff.py
@@ -9,10 +9,10 @@
 ASK_LONGEST_MS = (1.0 + ASK_JITTER) * ASK_MOST_MS  # workspond/discovery/watcher.py counts on it
 
 
-def wait_before_asking_ms(ask_every_ms: float, rng: random.Random) -> float:
+def subscription_backoff_ms(poll_interval_ms: float, rng: random.Random) -> float:
     """A wait with jitter, so that copies do not ask in step.
 
     What a silent subscription leaves unsaid counts as told after 6 s, however seldom one may ask.
     """
-    mean_ms = min(ASK_SHARE * ask_every_ms, ASK_MOST_MS)
+    mean_ms = min(ASK_SHARE * poll_interval_ms, ASK_MOST_MS)
     return mean_ms * rng.uniform(1.0 - ASK_JITTER, 1.0 + ASK_JITTER)
--- a/workspond/policy/token_bucket.py
+++ b/workspond/policy/token_bucket.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Bucket:
+class TokenBucket:
     """Tokens that come in at a rate, up to a most."""
 
     __slots__ = ("_since_ms", "tokens")
--- a/workspond/policy/weighted_round_robin.py
+++ b/workspond/policy/weighted_round_robin.py
@@ -27,7 +27,7 @@
     return math.pow(2.0, exponent)
 
 
-class Place:
+class RotationEntry:
     """Where a server stands in a rotation; one that has been given up has no server."""
 
     __slots__ = ("base", "group", "rotation", "server")
@@ -54,7 +54,7 @@
 
     def __init__(self, level: Level, gain: float) -> None:
         self.level, self.gain = level, gain
-        self.heap: list[tuple[float, int, Place]] = []  # some places may have been given up
+        self.heap: list[tuple[float, int, RotationEntry]] = []  # some places may have been given up
         self.members = 0
 
     @property
@@ -62,7 +62,7 @@
         """What a member has gained since its base was taken."""
         return self.gain * self.level.rounds
 
-    def leader(self) -> Place:
+    def leader(self) -> RotationEntry:
         """The place furthest ahead; there must be one."""
         while self.heap[0][2].server is None:
             heapq.heappop(self.heap)
@@ -86,7 +86,7 @@
         self.rounds = 0
         self.weight = 0.0  # of all members
 
-    def leader(self) -> Place:
+    def leader(self) -> RotationEntry:
         """The place that is furthest ahead once all have gained; there must be one."""
         leaders = [group.leader() for group in self.groups.values()]
         return max(leaders, key=lambda place: place.credit + place.group.gain)
@@ -136,7 +136,7 @@
             heapq.heappush(self._loads, load)
 
     def _stand(self, server: Server, group: GainGroup, base: float) -> None:
-        server.place = Place(server, group, base, self)
+        server.place = RotationEntry(server, group, base, self)
         heapq.heappush(group.heap, (-base, next(self._serial), server.place))
 
     def remove(self, server: Server) -> None:
--- a/workspond/settings_reader.py
+++ b/workspond/settings_reader.py
@@ -8,14 +8,21 @@
 import math
 from typing import Any, TypeVar
 
-from workspond.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
+from workspond.policy.settings import (
+    DeduplicationScope,
+    Idempotency,
+    InvalidSettingError,
+    RequestClass,
+    Settings,
+    Tenant,
+)
 
 Json = dict[str, Any]
 
 REPEATS = {
-    "retryable": Idempotency.SAFE,
+    "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
-    "fragile": Idempotency.UNSAFE,
+    "fragile": Idempotency.NON_IDEMPOTENT,
 }
 GROUPS = {
     "all": DeduplicationScope.ALL,
@@ -30,12 +37,29 @@
     dict: "an object",
     list: "an array",
 }
+# The wire's keys for those fields of the settings that have another name here.
+WIRE_KEYS = {
+    "deadline_ms": "give_up_ms",
+    "deduplication_window_ms": "window_ms",
+    "late_fraction": "late_worth",
+    "over_quota_fraction": "over_share_worth",
+    "overload_window_ms": "overload_for_ms",
+    "poll_interval_ms": "ask_every_ms",
+    "priority_weight": "importance",
+    "quota_fraction": "fraction",
+    "replica_index": "my_number",
+    "replicas": "siblings",
+    "retry_budget_floor": "extra_floor",
+    "retry_budget_ratio": "repeat_ratio",
+    "retry_budget_window_ms": "resend_span_ms",
+    "tick_ms": "quantum_ms",
+}
 T = TypeVar("T")
 NUMBER = (int, float)
 MOST = 2**128  # of whole numbers: one that no float can hold stops the first sum with it
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """Input that does not follow the wire."""
 
 
@@ -43,13 +67,13 @@
     try:
         value = obj[key]
     except KeyError:
-        raise Malformed(f"{key!r} is missing") from None
+        raise MalformedInputError(f"{key!r} is missing") from None
     if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-        raise Malformed(f"{key!r} must be {KINDS[kind]}, not {value!r:.60}")
+        raise MalformedInputError(f"{key!r} must be {KINDS[kind]}, not {value!r:.60}")
     if isinstance(value, float) and not math.isfinite(value):
-        raise Malformed(f"{key!r} must be a finite number, not {value!r}")
+        raise MalformedInputError(f"{key!r} must be a finite number, not {value!r}")
     if isinstance(value, int) and abs(value) > MOST:
-        raise Malformed(f"{key!r} is too large: {value!r:.60}")
+        raise MalformedInputError(f"{key!r} is too large: {value!r:.60}")
     return value
 
 
@@ -60,7 +84,7 @@
 def word(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
     value = get(obj, key, kind)
     if value not in words:
-        raise Malformed(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
+        raise MalformedInputError(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
     return words[value]
 
 
@@ -68,22 +92,40 @@
     values: list[Json] = get(obj, key, list)
     for n, value in enumerate(values):
         if not isinstance(value, dict):
-            raise Malformed(f"{key}[{n}] must be an object, not {value!r:.60}")
+            raise MalformedInputError(f"{key}[{n}] must be an object, not {value!r:.60}")
     return values
 
 
 def read_settings(env: Json) -> Settings:
-    """Turn the wire's start-up settings into the module's; unknown keys are ignored."""
+    """Turn the start-up settings of the wire into the policy's; unknown keys are ignored.
+
+    Raises `MalformedInputError`, or `InvalidSettingError` that names the key of the wire.
+    """
+    try:
+        return _read_settings(env)
+    except InvalidSettingError as error:
+        raise InvalidSettingError(_wire_name(error.name), error.problem) from None
+
+
+def _wire_name(name: str) -> str:
+    """The name of a setting with the wire's key in place of the policy's field."""
+    owner, dot, field = name.rpartition(".")
+    return f"{owner}{dot}{WIRE_KEYS.get(field, field)}"
+
+
+def _read_settings(env: Json) -> Settings:
     classes = [
         RequestClass(
             name=get(c, "name", str),
-            aim_ms=get(c, "objective_ms", NUMBER),
+            objective_ms=get(c, "objective_ms", NUMBER),
             deadline_ms=get(c, "give_up_ms", NUMBER),
-            worth=opt(c, "importance", NUMBER, 1.0),
-            late_worth=opt(c, "late_worth", NUMBER, 0.0),
-            repeat=word(c, "semantics", REPEATS),
-            group=word(c, "dedup_scope", GROUPS) if c.get("semantics") == "dedup" else DeduplicationScope.ALL,
-            window_ms=get(c, "window_ms", NUMBER) if c.get("semantics") == "dedup" else 0.0,
+            priority_weight=opt(c, "importance", NUMBER, 1.0),
+            late_fraction=opt(c, "late_worth", NUMBER, 0.0),
+            idempotency=word(c, "semantics", REPEATS),
+            deduplication_scope=word(c, "dedup_scope", GROUPS)
+            if c.get("semantics") == "dedup"
+            else DeduplicationScope.ALL,
+            deduplication_window_ms=get(c, "window_ms", NUMBER) if c.get("semantics") == "dedup" else 0.0,
         )
         for c in objects(env, "classes")
     ]
@@ -97,16 +139,16 @@
     return Settings(
         classes=classes,
         tenants=tenants,
-        over_share_worth=opt(env, "over_share_worth", NUMBER, 1.0),
-        worst_class=worst / (1.0 - worst) if 0.0 <= worst < 1.0 else 0.0,
+        over_quota_fraction=opt(env, "over_share_worth", NUMBER, 1.0),
+        worst_class_weight=worst / (1.0 - worst) if 0.0 <= worst < 1.0 else 0.0,
         zone=opt(env, "locality", str, ""),
-        nodes=max(1, get(env, "siblings", int)),
-        number=opt(env, "my_number", int, 0),
+        replicas=max(1, get(env, "siblings", int)),
+        replica_index=opt(env, "my_number", int, 0),
         tier=opt(env, "tier", int, 0),
         tiers=max(1, len(opt(env, "stages", list, []))),
         passes_deadline=opt(opt(env, "family_info", dict, {}), "passes_deadline", bool, False),
-        follow_list=get(env, "membership_mode", str) == "on_request",
-        ask_every_ms=get(rules, "ask_every_ms", NUMBER),
+        requires_subscription=get(env, "membership_mode", str) == "on_request",
+        poll_interval_ms=get(rules, "ask_every_ms", NUMBER),
         max_attempts=get(allow, "max_attempts", int),
         parallel_attempts=opt(allow, "parallel_tries", bool, False),
         can_cancel=opt(allow, "may_cancel", bool, False),
@@ -121,11 +163,11 @@
         start_capacity=get(rules, "start_capacity", NUMBER),
         ramp_time_ms=get(rules, "ramp_time_ms", NUMBER),
         overload_factor=get(rules, "overload_factor", NUMBER),
-        overload_for_ms=get(rules, "overload_for_ms", NUMBER),
-        repeat_ratio=opt(rules, "repeat_ratio", NUMBER, None),
-        extra_floor=opt(rules, "extra_floor", NUMBER, 0.0),
-        resend_span_ms=opt(rules, "resend_span_ms", NUMBER, 0.0),
-        full_may_have_run=opt(rules, "full_may_have_run", bool, False),
+        overload_window_ms=get(rules, "overload_for_ms", NUMBER),
+        retry_budget_ratio=opt(rules, "repeat_ratio", NUMBER, None),
+        retry_budget_floor=opt(rules, "extra_floor", NUMBER, 0.0),
+        retry_budget_window_ms=opt(rules, "resend_span_ms", NUMBER, 0.0),
+        rejected_may_have_run=opt(rules, "full_may_have_run", bool, False),
         cross_zone_price=opt(prices, "cross_zone", NUMBER, 0.0),
         handshake_price=opt(prices, "handshake", NUMBER, 0.0),
     )
--- a/workspond/simulator_adapter.py
+++ b/workspond/simulator_adapter.py
@@ -36,41 +36,50 @@
     TimerFired,
     UpdateKind,
 )
-from workspond.settings_reader import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from workspond.settings_reader import (
+    NUMBER,
+    Json,
+    MalformedInputError,
+    get,
+    objects,
+    opt,
+    read_settings,
+    word,
+)
 
 HEALTH = {
     "in_service": EndpointState.IN_SERVICE,
     "terminating": EndpointState.DRAINING,
-    "terminated": EndpointState.GONE,
+    "terminated": EndpointState.REMOVED,
 }
 FORMS = {
-    "INCREMENTAL": UpdateKind.CHANGES,
-    "FULL": UpdateKind.FULL,
-    "SAVED": UpdateKind.SAVED,
+    "INCREMENTAL": UpdateKind.INCREMENTAL,
+    "FULL": UpdateKind.COMPLETE,
+    "SAVED": UpdateKind.CACHED,
     "FAILED": UpdateKind.FAILED,
 }
 RESULTS = {
-    100: Outcome.SERVED,
+    100: Outcome.SUCCESS,
     301: Outcome.ERROR,
-    302: Outcome.REFUSED,
+    302: Outcome.REJECTED,
     303: Outcome.TIMEOUT,
-    304: Outcome.UNREACHABLE,
+    304: Outcome.CONNECT_FAILED,
     305: Outcome.RESET,
     306: Outcome.CANCELLED,
-    307: Outcome.MOOT,
+    307: Outcome.NOT_SENT,
 }
 
 
 def _entries(item: Json) -> list[Endpoint]:
     return [
         Endpoint(
-            server=get(e, "server", int),
+            server_id=get(e, "server", int),
             zone=opt(e, "failure_domain", str, ""),
-            kind=opt(e, "sku", str, ""),
+            machine_type=opt(e, "sku", str, ""),
             cell=opt(e, "group", int, 0),
-            health=word(e, "health", HEALTH),
-            share=opt(e, "share", NUMBER, 1.0),
-            started_ms=opt(e, "boot_time_ms", NUMBER, 0.0) or None,
+            state=word(e, "health", HEALTH),
+            weight=opt(e, "share", NUMBER, 1.0),
+            started_at_ms=opt(e, "boot_time_ms", NUMBER, 0.0) or None,
         )
         for e in objects(item, "elements")
     ]
@@ -127,25 +136,30 @@
             return {
                 "kind": "SubmitTo",
                 "node": node,
-                "request_id": action.id,
-                "server": action.server,
+                "request_id": action.request_id,
+                "server": action.server_id,
                 "within_ms": action.timeout_ms,
             }
         case SetTimer():
             return {"kind": "WakeAt", "node": node, "nonce": action.token, "span_ms": action.delay_ms}
         case FailRequest():
-            return {"kind": "RespondError", "node": node, "request_id": action.id}
+            return {"kind": "RespondError", "node": node, "request_id": action.request_id}
         case RejectRequest():
             return {
                 "kind": "Deny",
                 "node": node,
-                "request_id": action.id,
+                "request_id": action.request_id,
                 "stay_away_ms": action.retry_after_ms,
             }
         case CancelAttempt():
-            return {"kind": "StopAttempt", "node": node, "request_id": action.id, "send_no": action.attempt}
+            return {
+                "kind": "StopAttempt",
+                "node": node,
+                "request_id": action.request_id,
+                "send_no": action.attempt_number,
+            }
         case CloseIdleConnections():
-            return {"kind": "FreeLinks", "node": node, "server": action.server}
+            return {"kind": "FreeLinks", "node": node, "server": action.server_id}
         case Subscribe():
             return {"kind": "Track", "node": node, "on": True}
         case WriteLog():
@@ -167,8 +181,8 @@
         for n, item in enumerate(objects(message, "items")):
             try:
                 self._item(item, now, actions)
-            except Malformed as problem:
-                raise Malformed(f"items[{n}] ({item.get('kind')!r:.40}): {problem}") from None
+            except MalformedInputError as problem:
+                raise MalformedInputError(f"items[{n}] ({item.get('kind')!r:.40}): {problem}") from None
         return {"round": number, "actions": actions}
 
     def _item(self, item: Json, now: float, actions: list[Json]) -> None:
@@ -181,11 +195,11 @@
             try:
                 settings = read_settings(get(item, "env", dict))
             except ValueError as problem:
-                raise Malformed(f"'env' has impossible settings: {problem}") from None
+                raise MalformedInputError(f"'env' has impossible settings: {problem}") from None
             self._nodes[name] = Balancer(settings, get(item, "salt", int))
             event: PolicyEvent = NodeStarted()
         elif name not in self._nodes:
-            raise Malformed(f"node {name!r:.40} is not running")
+            raise MalformedInputError(f"node {name!r:.40} is not running")
         elif kind == "PowerOff":
             del self._nodes[name]
             return
@@ -193,12 +207,14 @@
             event = self._view(item)
         elif kind in READERS:
             event = READERS[kind](item)
-            if isinstance(event, RequestReceived) and event.cls not in self._nodes[name].classes:
-                raise Malformed(f"'type' is {event.cls!r:.40}, which is no class of the settings")
+            if isinstance(event, RequestReceived) and event.class_name not in self._nodes[name].classes:
+                raise MalformedInputError(
+                    f"'type' is {event.class_name!r:.40}, which is no class of the settings"
+                )
         elif kind in IGNORED:
             return
         else:
-            raise Malformed("unknown kind of event")
+            raise MalformedInputError("unknown kind of event")
         for action in self._nodes[name].handle(event, now):
             actions.append(_write(name, action))
 
@@ -208,7 +224,7 @@
             return EndpointUpdate(form)
         bank = get(item, "bank", int)
         if bank not in self._pages:
-            raise Malformed(f"'bank' {bank} has had no Page")
+            raise MalformedInputError(f"'bank' {bank} has had no Page")
         return EndpointUpdate(form, get(item, "stamp", int), self._pages[bank])
 
 
@@ -221,13 +237,13 @@
                 line = source.readline()
                 message = json.loads(line) if line else None
             except (ValueError, RecursionError) as problem:
-                raise Malformed(f"not JSON: {problem!s:.200}") from None
+                raise MalformedInputError(f"not JSON: {problem!s:.200}") from None
             if not line:
                 return 0
             if not isinstance(message, dict):
-                raise Malformed(f"a batch must be an object, not {message!r:.60}")
+                raise MalformedInputError(f"a batch must be an object, not {message!r:.60}")
             reply = host.batch(message)
-        except Malformed as problem:
+        except MalformedInputError as problem:
             print(f"workspond: input line {number}: {problem}", file=errors)
             return 2
         number += 1
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -18,7 +18,7 @@
 import httptools
 
 from workspond.config import Address, now_ms
-from workspond.http.limits import MAX_BODY, MAX_HEAD
+from workspond.http.limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from workspond.policy.events import Outcome
 
 MOST_REPORTED = 1e6  # of any figure in a load report
@@ -35,16 +35,16 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class ServerResponse:
     """What a server answered."""
 
     status: int
     body: bytes
     content_type: bytes | None
-    report: dict[str, float] | None
+    load_report: dict[str, float] | None
 
 
-Ended = Callable[[Outcome, Answer | None], None]
+Ended = Callable[[Outcome, ServerResponse | None], None]
 
 
 class Attempt:
@@ -78,7 +78,7 @@
         """Note what stops the attempt where it is: its dial, or its connection."""
         self._cancel_io = cancel_io
 
-    def end(self, result: Outcome, answer: Answer | None = None) -> None:
+    def end(self, result: Outcome, answer: ServerResponse | None = None) -> None:
         """Report the outcome, unless one was reported before."""
         if self.over:
             return
@@ -97,7 +97,7 @@
 
     def timed_out(self) -> None:
         # Not all of it written: the server can't have begun, as it waits for the last byte.
-        self.break_off(Outcome.TIMEOUT if self.written else Outcome.UNREACHABLE)
+        self.break_off(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
 
 
 def read_report(text: bytes) -> dict[str, float] | None:
@@ -118,7 +118,7 @@
 class Connection(asyncio.Protocol):
     """A connection to a server, which carries one attempt at a time."""
 
-    def __init__(self, pool: Upstream, server: int, address: Address) -> None:
+    def __init__(self, pool: ConnectionPool, server: int, address: Address) -> None:
         self.server, self.address, self.idle_since = server, address, 0.0
         self.reusable_from_ms = 0.0  # no request goes out on it before
         self._pool = pool
@@ -167,7 +167,7 @@
             self._keep = False  # more than the answer came: of no further use
         if self._complete and not self._spoilt:
             self._answered()
-        elif self._spoilt or (not self._in_body and self._head > MAX_HEAD):
+        elif self._spoilt or (not self._in_body and self._head > MAX_HEAD_BYTES):
             self._end(Outcome.ERROR, reuse=False)
 
     def eof_received(self) -> None:
@@ -180,7 +180,7 @@
         self._lost = True
         self._pool.forget(self)
         if self._attempt is not None:
-            self._end(Outcome.RESET if self._attempt.written else Outcome.UNREACHABLE, reuse=False)
+            self._end(Outcome.RESET if self._attempt.written else Outcome.CONNECT_FAILED, reuse=False)
 
     def close(self) -> None:
         """Close now, whatever it carries."""
@@ -218,21 +218,21 @@
         attempt.unread = self.unread
         self._transport.write(attempt.render())
         if self._transport.is_closing():  # the write itself failed
-            self._end(Outcome.UNREACHABLE, reuse=False)
+            self._end(Outcome.CONNECT_FAILED, reuse=False)
         else:
             attempt.written = not self._paused
 
     def _answered(self) -> None:
         body = b"".join(self._body)
-        answer = Answer(self._status, body, self._type, self._report)
+        answer = ServerResponse(self._status, body, self._type, self._report)
         if self._status == 200:
-            result = Outcome.SERVED
+            result = Outcome.SUCCESS
         else:
             refused = self._status in (503, 504) and self._rejected
-            result = Outcome.REFUSED if refused else Outcome.ERROR
+            result = Outcome.REJECTED if refused else Outcome.ERROR
         self._end(result, self._keep, answer)
 
-    def _end(self, result: Outcome, reuse: bool, answer: Answer | None = None) -> None:
+    def _end(self, result: Outcome, reuse: bool, answer: ServerResponse | None = None) -> None:
         attempt, self._attempt = self._attempt, None
         if reuse and not self._paused and self.usable():
             self.reusable_from_ms = now_ms() + REUSE_DELAY_MS
@@ -256,7 +256,7 @@
                 self._framings += 1
             case b"content-length":
                 self._framings += 1
-                self._spoilt = self._spoilt or int(value) > MAX_BODY
+                self._spoilt = self._spoilt or int(value) > MAX_BODY_BYTES
             case b"content-type":
                 self._type = value
             case b"x-rejected":
@@ -274,7 +274,7 @@
         if not self._complete:
             self._size += len(body)
             self._body.append(body)
-            if self._size > MAX_BODY:
+            if self._size > MAX_BODY_BYTES:
                 self._spoilt = True
                 self._body.clear()
 
@@ -288,7 +288,7 @@
         self._complete, self._keep = True, self._parser.should_keep_alive()
 
 
-class Upstream:
+class ConnectionPool:
     """All connections to servers."""
 
     def __init__(
@@ -335,7 +335,7 @@
             return attempt
         if self._room() <= 0 and not self.close_oldest_idle():
             # Our own shortage: it never ran, and says nothing about the server.
-            attempt.end(Outcome.MOOT)
+            attempt.end(Outcome.NOT_SENT)
             return attempt
         dial = self._loop.create_task(self._dial(attempt, server, address))
         self._dials.add(dial)
@@ -370,7 +370,7 @@
 
     async def _dial(self, attempt: Attempt, server: int, address: Address) -> None:
         connection = Connection(self, server, address)
-        result, kept = Outcome.UNREACHABLE, False
+        result, kept = Outcome.CONNECT_FAILED, False
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 await self._loop.create_connection(lambda: connection, *address)
@@ -381,13 +381,13 @@
                 if not attempt.over and attempt.may_send():
                     return connection.carry(attempt)
                 self.put_back(connection)
-                result = Outcome.MOOT
+                result = Outcome.NOT_SENT
         except OSError as problem:  # a time-out is one too
             if problem.errno in OWN_SHORTAGE:
-                result = Outcome.MOOT
+                result = Outcome.NOT_SENT
         except Exception:
             log.exception("connecting to a server")
-            result = Outcome.RESET if attempt.written else Outcome.UNREACHABLE
+            result = Outcome.RESET if attempt.written else Outcome.CONNECT_FAILED
         finally:
             if not kept:  # called off or broken: what came up of it belongs to nobody
                 connection.close()
--- a/workspond/upstream/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -18,7 +18,7 @@
 log = logging.getLogger("workspond")
 
 
-class Refusal(Enum):
+class SendRefusal(Enum):
     """Why an attempt is not written."""
 
     ANSWERED = "its request has ended"
@@ -31,10 +31,10 @@
     TOO_MANY = "all attempts that are allowed have been made"
 
 
-BROKEN_INVARIANTS = frozenset((Refusal.UNSAFE_REPEAT, Refusal.OVERLAP, Refusal.TOO_MANY))
+BROKEN_INVARIANTS = frozenset((SendRefusal.UNSAFE_REPEAT, SendRefusal.OVERLAP, SendRefusal.TOO_MANY))
 
 
-class AttemptLog:
+class AttemptHistory:
     """What has been written of one request, and what became of it."""
 
     __slots__ = ("may_have_run", "out", "written")
@@ -61,18 +61,24 @@
     def __init__(self, settings: Settings, in_service: Set[int], addresses: Mapping[int, Address]) -> None:
         """`in_service` and `addresses` are the node's own, as they change."""
         self._settings, self._in_service, self._addresses = settings, in_service, addresses
-        self._repeat = {cls.name: cls.repeat for cls in settings.classes}
-        self.broken: Counter[Refusal] = Counter()
+        self._repeat = {cls.name: cls.idempotency for cls in settings.classes}
+        self.broken: Counter[SendRefusal] = Counter()
 
     def may_have_run(self, result: Outcome) -> bool:
         """Whether a written attempt that ended so may have run."""
-        if result is Outcome.REFUSED:
-            return self._settings.full_may_have_run
-        return result not in (Outcome.UNREACHABLE, Outcome.MOOT)
+        if result is Outcome.REJECTED:
+            return self._settings.rejected_may_have_run
+        return result not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
     def refusal(
-        self, id: str, cls: str, attempts: AttemptLog, server: int, address: Address | None, latest_ms: float
-    ) -> Refusal | None:
+        self,
+        id: str,
+        cls: str,
+        attempts: AttemptHistory,
+        server: int,
+        address: Address | None,
+        latest_ms: float,
+    ) -> SendRefusal | None:
         """Why an attempt must not be written now; None: it may.
 
         `address` is that of the connection, `latest_ms` the last moment for a repeat by `now_ms`.
@@ -83,16 +89,16 @@
             log.error("invariant broken (%d so far): request %s: %s", self.broken.total(), id, reason.value)
         return reason
 
-    def _changed(self, server: int, address: Address | None, latest_ms: float) -> Refusal | None:
+    def _changed(self, server: int, address: Address | None, latest_ms: float) -> SendRefusal | None:
         if server not in self._in_service:
-            return Refusal.NOT_IN_SERVICE
+            return SendRefusal.NOT_IN_SERVICE
         if self._addresses.get(server) != address:
-            return Refusal.MOVED
-        return Refusal.WINDOW_OVER if now_ms() > latest_ms else None
+            return SendRefusal.MOVED
+        return SendRefusal.WINDOW_OVER if now_ms() > latest_ms else None
 
-    def _broken_rule(self, cls: str, attempts: AttemptLog) -> Refusal | None:
+    def _broken_rule(self, cls: str, attempts: AttemptHistory) -> SendRefusal | None:
         if attempts.out and not self._settings.parallel_attempts:
-            return Refusal.OVERLAP
-        if attempts.may_have_run and self._repeat[cls] is Idempotency.UNSAFE:
-            return Refusal.UNSAFE_REPEAT
-        return Refusal.TOO_MANY if attempts.written >= self._settings.max_attempts else None
+            return SendRefusal.OVERLAP
+        if attempts.may_have_run and self._repeat[cls] is Idempotency.NON_IDEMPOTENT:
+            return SendRefusal.UNSAFE_REPEAT
+        return SendRefusal.TOO_MANY if attempts.written >= self._settings.max_attempts else None
