--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -557,7 +557,7 @@
     node.now += 1.0
     node.serve(1)
     room = node.balancer.admission.window(1.0, node.now + 300.0)
-    node.balancer.admission.window = lambda part, now: 3.0  # type: ignore[method-assign]
+    node.balancer.admission.window = lambda part, now_ms: 3.0  # type: ignore[method-assign]
     assert room > 0.0 and not sends(node.ask("held", "unsafe"))
     node.now += 300.0
     assert sends(node.ask("room", "unsafe"))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,8 @@
 import pytest
 
 from tests.peers import Server, World, run, until, world
-from workspond.config import EndpointList, now_ms, read_endpoint_list, server_id
+from workspond.clock import now_ms
+from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list, server_id
 from workspond.discovery.incarnations import IncarnationTracker
 
 HOUR_S = 3600.0
--- a/tests/test_listing_reader.py
+++ b/tests/test_listing_reader.py
@@ -11,10 +11,10 @@
 import pytest
 
 from tests.peers import Server, run, until, world
-from workspond.config import EndpointList, read_endpoint_list, server_id
+from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list, server_id
 from workspond.discovery.endpoint_list_reader import EndpointListReader
+from workspond.json_fields import MalformedInputError
 from workspond.policy.endpoint import Endpoint, EndpointState
-from workspond.settings_reader import MalformedInputError
 
 
 def endpoint(number: int, **changes: Any) -> dict[str, Any]:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -29,7 +29,8 @@
     world,
 )
 from tests.test_wire import ROOT
-from workspond.config import address, server_id
+from workspond.address import parse_address
+from workspond.discovery.endpoint_list import server_id
 from workspond.policy import retry_policy
 from workspond.policy.actions import PolicyAction
 from workspond.policy.balancer import Balancer
@@ -667,7 +668,7 @@
             line = await asyncio.wait_for(program.process.stderr.readline(), LIMIT_S)
             assert line, "ended before it was ready"
             if b"started" in line:
-                scene.address = address(line.decode().split()[-1])
+                scene.address = parse_address(line.decode().split()[-1])
                 return program
 
     async def refuses(self) -> None:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.peers import CLOSE, HANG, LIMIT_S, RESET, Peer, Seen, Server, answer, request, run, until, world
-from workspond.config import Address
+from workspond.address import Address
 from workspond.policy.actions import SendAttempt
 from workspond.policy.balancer import Balancer
 from workspond.policy.endpoint import Endpoint
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -11,7 +11,7 @@
 
 from tests.peers import LIMIT_S, Caller, Server, run, world
 from tests.test_node import spawn
-from workspond.config import address
+from workspond.address import parse_address
 
 AT_ONCE = 20  # a tenth of a fleet of 200
 READY_S, SHARE = 10.0, 0.9  # so many have to be ready by then
@@ -30,7 +30,7 @@
                 scene.registry._server.close()
                 await scene.registry._server.wait_closed()
             if discovery == "a dial that hangs":
-                where = address(scene.registry.address)
+                where = parse_address(scene.registry.address)
                 hung = socket.create_server(where, backlog=0)  # full with one, that nobody accepts
                 peers = [hung, socket.create_connection(where)]
 
@@ -42,7 +42,7 @@
                     assert process.stderr is not None
                     while b"started" not in (line := await process.stderr.readline()):
                         assert line, "ended before it was ready"
-                    where = address(line.decode().split()[-1])
+                    where = parse_address(line.decode().split()[-1])
                     caller = Caller(*await asyncio.open_connection(*where))
                     while (await caller.ask_path("/-/ready")).status != 200:
                         await asyncio.sleep(0.02)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,9 +14,9 @@
 
 from tests.peers import HANG, LIMIT_S, Registry, Seen, Server, World, request, run, until, world
 from tests.test_node import Program
-from workspond.config import EndpointList
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
+from workspond.discovery.endpoint_list import EndpointList
 
 
 def write(scene: World, registry: Registry) -> None:
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -10,7 +10,7 @@
 
 from tests.helpers import settings
 from tests.peers import RESET, Server, run, world
-from workspond.config import now_ms
+from workspond.clock import now_ms
 from workspond.policy.events import Outcome
 from workspond.policy.retry_policy import RetryPolicy
 from workspond.upstream.send_guard import AttemptHistory, SendGuard, SendRefusal
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -15,9 +15,9 @@
 
 from tests.peers import Server, answer, read_message, run, until, world
 from workspond import node
-from workspond.config import EndpointList
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
+from workspond.discovery.endpoint_list import EndpointList
 from workspond.policy.subscription_backoff import ASK_LONGEST_MS
 
 TOLD_MS = 6000.0  # after discovery had it and could be reached, whatever became of calls
--- a/workspond/__main__.py
+++ b/workspond/__main__.py
@@ -14,7 +14,8 @@
 
 import uvloop
 
-from workspond.config import Address, InvalidConfigError, UnreadableConfigError, read_config
+from workspond.address import Address
+from workspond.config import InvalidConfigError, UnreadableConfigError, read_config
 from workspond.downstream.listener import SHORTAGES
 from workspond.node import Node
 from workspond.observability.log_output import LineWriter, open_standard_descriptors, set_up_logging
--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from workspond.config import Address
+from workspond.address import Address
 
 CONNECT_S = 0.5  # for a connection to come up; a cut link would use up the whole of a call's time
 SILENCE_S = 1.0  # an answer that has begun is waited for as long as more of it comes within this
--- a/workspond/discovery/endpoint_list_reader.py
+++ b/workspond/discovery/endpoint_list_reader.py
@@ -10,9 +10,9 @@
 import re
 from dataclasses import dataclass
 
-from workspond.config import EndpointList, read_endpoint_list
+from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list
+from workspond.json_fields import Json, MalformedInputError
 from workspond.policy.endpoint import EndpointState
-from workspond.settings_reader import Json, MalformedInputError
 
 ENDPOINTS = re.compile(r'"endpoints"\s*:\s*\[')
 ENTRY = re.compile(r"\s*(\{[^{}]*\})\s*([,\]])")  # with what follows it
--- a/workspond/discovery/incarnations.py
+++ b/workspond/discovery/incarnations.py
@@ -9,7 +9,8 @@
 import time
 from dataclasses import dataclass
 
-from workspond.config import EndpointList, now_ms
+from workspond.clock import now_ms
+from workspond.discovery.endpoint_list import EndpointList
 
 MOST_REMEMBERED = 4096  # servers that left the list: one that returns unchanged has not started anew
 
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -12,10 +12,12 @@
 import math
 from collections.abc import Callable
 
-from workspond.config import Address, EndpointList, now_ms
+from workspond.address import Address
+from workspond.clock import now_ms
 from workspond.discovery.agent_client import CONNECT_S, AgentClient
+from workspond.discovery.endpoint_list import EndpointList
 from workspond.discovery.endpoint_list_reader import EndpointListReader
-from workspond.settings_reader import MalformedInputError
+from workspond.json_fields import MalformedInputError
 
 # How long discovery may keep a watch open, and what it gets beyond that. Its silence shows only then. In
 # incident r32b5e5, at 20 s, all nodes sent through a whole release by the list they had started with. A watch
--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import Protocol, cast
 
-from workspond.config import now_ms
+from workspond.clock import now_ms
 from workspond.downstream.connection_states import ConnectionState
 from workspond.downstream.socket_state import unread_since_ms
 from workspond.http.request import ClientRequest, InvalidRequestError
--- a/workspond/downstream/frontend.py
+++ b/workspond/downstream/frontend.py
@@ -6,7 +6,7 @@
 import itertools
 from collections.abc import Callable
 
-from workspond.config import Address
+from workspond.address import Address
 from workspond.downstream.client_connection import AcceptedRequest, ClientConnection, ResponseReceiver
 from workspond.downstream.connection_states import ConnectionState, ConnectionTable
 from workspond.downstream.listener import Listener
--- a/workspond/downstream/listener.py
+++ b/workspond/downstream/listener.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Callable
 
-from workspond.config import Address
+from workspond.address import Address
 
 BACKLOG = 1024
 ACCEPTED_A_TURN = 16  # fewer than the descriptors kept in hand, as closed ones come back a turn later
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -13,7 +13,10 @@
 import resource
 from collections import deque
 
-from workspond.config import Address, Config, EndpointList, now_ms
+from workspond.address import Address
+from workspond.clock import now_ms
+from workspond.config import Config
+from workspond.discovery.endpoint_list import EndpointList
 from workspond.discovery.incarnations import IncarnationTracker
 from workspond.discovery.watcher import EndpointWatcher
 from workspond.downstream.client_connection import ResponseReceiver
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -9,9 +9,9 @@
 import random
 from collections.abc import Callable
 
-from workspond.policy.averages import ClassStatistics, TypicalDelay
 from workspond.policy.call import Call
 from workspond.policy.fleet import Fleet
+from workspond.policy.request_statistics import ClassStatistics, TypicalDelay
 from workspond.policy.retry_controller import RetryController
 from workspond.policy.settings import Settings
 
@@ -22,12 +22,12 @@
 RESERVE = 0.15  # of the window is kept for the class of most value
 
 
-def window(controller: RetryController, part: float, now: float) -> float:
+def window(controller: RetryController, part: float, now_ms: float) -> float:
     """How many calls may be outstanding from a copy whose part of the fleet is so many servers."""
     answers = controller.answers
     if answers.span_s < 1.0:  # sulcast-later overload: unbounded at first, a tier choked at 2 s
         return START * part + answers.events
-    answers.count(0.0, now)
+    answers.count(0.0, now_ms)
     # i35d8eb: with nothing added it spirals down where the normal delay is over its share of the aim.
     # Else what is added alone keeps the delay over the target: rota, two calls to boxes that serve one.
     added = ADDED * part / max(1.0, controller.delay_over_target())
@@ -49,33 +49,35 @@
     ) -> None:
         self._settings, self._controller, self._record = settings, controller, record
         self._fleet, self._usual, self._rng = fleet, usual, rng
-        self._objectives_ms = {cls.name: cls.objective_ms for cls in settings.classes}
+        self._objectives_ms = {
+            request_class.name: request_class.objective_ms for request_class in settings.classes
+        }
 
-    def window(self, part: float, now: float) -> float:
+    def window(self, part: float, now_ms: float) -> float:
         """How many calls may be outstanding from a copy whose part of the fleet is so many servers."""
-        return window(self._controller, part, now)
+        return window(self._controller, part, now_ms)
 
-    def sheds(self, call: Call, now: float) -> bool:
+    def sheds(self, call: Call, now_ms: float) -> bool:
         """Whether the loop has this call shed: it takes its share from those of least value first."""
-        shed = 0.0 if self._settings.tier else self._controller.shed_share(now)
+        shed = 0.0 if self._settings.tier else self._controller.shed_share(now_ms)
         if not shed:
             return False
         values = {name: self.value(name, False) for name in self._objectives_ms}
-        own = self.value(call.cls.name, call.over_quota)
+        own = self.value(call.request_class.name, call.over_quota)
         less = sum(self._record.mix[name] for name, value in values.items() if value < own)
-        return self._rng.random() * self._record.mix[call.cls.name] < shed - less
+        return self._rng.random() * self._record.mix[call.request_class.name] < shed - less
 
-    def crowded(self, call: Call, inflight: int, lost_calls: Callable[[float], int], now: float) -> bool:
+    def crowded(self, call: Call, inflight: int, lost_calls: Callable[[float], int], now_ms: float) -> bool:
         """Whether the clients' tier has as many calls outstanding as the delay target bears."""
-        room = self.window(self._fleet.slice, now)
+        room = self.window(self._fleet.slice, now_ms)
         if self._settings.tier or inflight < (1.0 - RESERVE) * room:
             return False
         # sulcast-porto-alegre silent+leave+brisk 12: of a window of 8 two stood on connections that had died.
         # It lets in a few too many where a class has far longer calls than the rest of them.
-        working = inflight - lost_calls(now)
+        working = inflight - lost_calls(now_ms)
         best = max(self.value(name, False) for name in self._objectives_ms)
         full = working >= (1.0 - RESERVE) * room
-        return full and (working >= room or self.value(call.cls.name, call.over_quota) < best)
+        return full and (working >= room or self.value(call.request_class.name, call.over_quota) < best)
 
     def value(self, name: str, over_quota: bool) -> float:
         """What an answer to a class is worth to the operators, for the time that it takes."""
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -20,7 +20,6 @@
     Subscribe,
 )
 from workspond.policy.admission import AdmissionController
-from workspond.policy.averages import PEER_SAMPLES, ClassStatistics, TypicalDelay
 from workspond.policy.call import Call
 from workspond.policy.events import (
     AttemptEnded,
@@ -37,6 +36,7 @@
 from workspond.policy.idle_timeout import IdleTimeout
 from workspond.policy.outlier_ejection import OutlierEjection
 from workspond.policy.request_queue import RequestQueue
+from workspond.policy.request_statistics import PEER_SAMPLES, ClassStatistics, TypicalDelay
 from workspond.policy.retry_controller import SAMPLES, RetryController
 from workspond.policy.retry_policy import RetryPolicy
 from workspond.policy.server import Server
@@ -56,7 +56,7 @@
 
     def __init__(self, settings: Settings, salt: int) -> None:
         self.settings = settings
-        self.classes = {cls.name: cls for cls in settings.classes}
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
         self._rng = random.Random(salt)
         self.controller = RetryController()
         self.inflight = 0  # attempts out
@@ -102,104 +102,104 @@
 
     # First sends
 
-    def _on_request(self, event: RequestReceived, now: float) -> None:
-        call = self._calls[event.request_id] = Call(event, self.classes[event.class_name], now)
+    def _on_request(self, event: RequestReceived, now_ms: float) -> None:
+        call = self._calls[event.request_id] = Call(event, self.classes[event.class_name], now_ms)
         self.record.asked(event.class_name)
-        self.retry_policy.count_request(now)
+        self.retry_policy.count_request(now_ms)
         if event.tenant in self._quotas:
             per_ms, bucket = self._quotas[event.tenant]
-            call.over_quota = not bucket.take(per_ms, max(1.0, QUOTA_MS * per_ms), now)
-        if self.admission.sheds(call, now):
+            call.over_quota = not bucket.take(per_ms, max(1.0, QUOTA_MS * per_ms), now_ms)
+        if self.admission.sheds(call, now_ms):
             return self._end(call)
-        self._attempt(call, now)
+        self._attempt(call, now_ms)
 
-    def _attempt(self, call: Call, now: float) -> None:
-        crowded = self.admission.crowded(call, self.inflight, self._selector.lost_calls, now)
-        server = None if crowded else self._selector.pick(call, now)
+    def _attempt(self, call: Call, now_ms: float) -> None:
+        crowded = self.admission.crowded(call, self.inflight, self._selector.lost_calls, now_ms)
+        server = None if crowded else self._selector.pick(call, now_ms)
         if crowded or (server is None and call.first_possible_run_at_ms is None and self.fleet.ready_count):
-            self._enqueue(call, now)
-        elif server is None or not self._send(call, server, now):
-            self._wait_or_end(call, now)
+            self._enqueue(call, now_ms)
+        elif server is None or not self._send(call, server, now_ms):
+            self._wait_or_end(call, now_ms)
 
-    def _enqueue(self, call: Call, now: float) -> None:
+    def _enqueue(self, call: Call, now_ms: float) -> None:
         """Keep a call back while an answer within its aim is still possible."""
         slack_ms = 2.0 * self.settings.tick_ms
-        wait_ms = self._queue.latest_ms(call, self.settings.tier) - now
+        wait_ms = self._queue.latest_ms(call, self.settings.tier) - now_ms
         if wait_ms <= slack_ms:
             return self._end(call)
         self._queue.add(call)
         self._set_timer(call, wait_ms - slack_ms)
 
-    def _release(self, now: float) -> None:
+    def _release(self, now_ms: float) -> None:
         """Send queued calls as room comes up, those of most worth first."""
         for queue in self._queue.by_value(self.admission.value):
             while queue:
                 call = queue[0]
                 if call.queued and call.id in self._calls:
-                    crowded = self.admission.crowded(call, self.inflight, self._selector.lost_calls, now)
-                    server = None if crowded else self._selector.pick(call, now)
+                    crowded = self.admission.crowded(call, self.inflight, self._selector.lost_calls, now_ms)
+                    server = None if crowded else self._selector.pick(call, now_ms)
                     if server is None:
                         break
                     call.queued, call.timer_token = False, 0
-                    if not self._send(call, server, now):
-                        self._wait_or_end(call, now)
+                    if not self._send(call, server, now_ms):
+                        self._wait_or_end(call, now_ms)
                 queue.popleft()
 
     # Attempts
 
-    def _send(self, call: Call, server: Server, now: float) -> bool:
+    def _send(self, call: Call, server: Server, now_ms: float) -> bool:
         """The one gate that every send passes: rules 1 to 6."""
-        if not self._may_send(call, server, now):
+        if not self._may_send(call, server, now_ms):
             return False
-        cls, left_ms = call.cls, call.deadline_at_ms - now
+        request_class, left_ms = call.request_class, call.deadline_at_ms - now_ms
         if call.attempts:
-            self.retry_policy.count_retry(now)
+            self.retry_policy.count_retry(now_ms)
         call.attempts += 1
-        call.out, call.last_server, call.sent_at_ms = True, server, now
+        call.out, call.last_server, call.sent_at_ms = True, server, now_ms
         self.inflight += 1
         if self.inflight > GROW_FROM * self.fleet.ready_count:
-            self._selector.apply(self.fleet.grow(now), now)
-        call.idle_ms = 0.0 if server.calls else now - server.used_ms
+            self._selector.apply(self.fleet.grow(now_ms), now_ms)
+        call.idle_ms = 0.0 if server.calls else now_ms - server.used_ms
         if self._idle_limit.exceeded(call.idle_ms):  # Rosario fresh-big: sent on a dropped one, it is lost
             self._actions.append(CloseIdleConnections(server.id))
             call.idle_ms = 0.0
-        server.calls[call.id] = now, cls.objective_ms
-        self._selector.update(server, now)
+        server.calls[call.id] = now_ms, request_class.objective_ms
+        self._selector.update(server, now_ms)
         measured = self.usual_delay.samples >= SAMPLES
         timeout_ms = self.retry_policy.attempt_timeout_ms(call, left_ms, self.usual_delay.share, measured)
-        send_within_ms = self.retry_policy.repeat_ends_ms(call) - now
+        send_within_ms = self.retry_policy.repeat_ends_ms(call) - now_ms
         fresh = (
-            cls.idempotency is Idempotency.NON_IDEMPOTENT
+            request_class.idempotency is Idempotency.NON_IDEMPOTENT
         )  # on a new connection: a loss could not be made good
         self._actions.append(SendAttempt(call.id, server.id, timeout_ms, fresh, send_within_ms))
         return True
 
-    def _may_send(self, call: Call, server: Server, now: float) -> bool:
+    def _may_send(self, call: Call, server: Server, now_ms: float) -> bool:
         """Whether the rules let the call go to the server; takes from a cold one's budget."""
-        cls, policy = call.cls, self.retry_policy
-        if call.id not in self._calls or call.out or call.deadline_at_ms - now <= self.settings.tick_ms:
+        request_class, policy = call.request_class, self.retry_policy
+        if call.id not in self._calls or call.out or call.deadline_at_ms - now_ms <= self.settings.tick_ms:
             return False  # rule 1
-        if call.attempts >= self.settings.max_attempts or not policy.repeatable(call, now):
+        if call.attempts >= self.settings.max_attempts or not policy.repeatable(call, now_ms):
             return False  # rule 2
         if (
             call.first_possible_run_at_ms is not None
-            and server.group(cls.deduplication_scope) != call.deduplication_group
+            and server.group(request_class.deduplication_scope) != call.deduplication_group
         ):
             return False  # rule 2
         if not server.in_service or not self.fleet.holds(server):
             return False  # rule 3
-        if call.attempts and not policy.in_budget(now):
+        if call.attempts and not policy.in_budget(now_ms):
             return False  # rule 5
-        warmth = self._slow_start.warmth(server, now)
+        warmth = self._slow_start.warmth(server, now_ms)
         if warmth < 1.0:
-            if self._slow_start.budget(server, warmth, self.fleet.parts, now) < 1.0:
+            if self._slow_start.budget(server, warmth, self.fleet.parts, now_ms) < 1.0:
                 return False  # rule 4
             server.budget.tokens -= 1.0
         return True
 
-    def _wait_or_end(self, call: Call, now: float, waited_ms: float = 0.0) -> None:
+    def _wait_or_end(self, call: Call, now_ms: float, waited_ms: float = 0.0) -> None:
         """Wait for the next attempt, where one can still be made in time."""
-        wait_ms = self.retry_policy.next_wait_ms(call, now, self.usual_delay.share, waited_ms)
+        wait_ms = self.retry_policy.next_wait_ms(call, now_ms, self.usual_delay.share, waited_ms)
         if wait_ms is None:
             self._end(call)
         else:
@@ -208,15 +208,15 @@
     def _end(self, call: Call) -> None:
         """The one way to end a request unserved: refused where a repeat is harmless, else failed."""
         if self._calls.pop(call.id, None):
-            self.record.ended(call.cls.name, False)
+            self.record.ended(call.request_class.name, False)
             everywhere = (
-                call.cls.idempotency is Idempotency.KEYED
-                and call.cls.deduplication_scope is DeduplicationScope.ALL
+                call.request_class.idempotency is Idempotency.KEYED
+                and call.request_class.deduplication_scope is DeduplicationScope.ALL
             )
             repeatable = (
                 call.first_possible_run_at_ms is None
                 or everywhere
-                or call.cls.idempotency is Idempotency.IDEMPOTENT
+                or call.request_class.idempotency is Idempotency.IDEMPOTENT
             )
             harmless = not call.out and repeatable
             # It says that the tier bears no more now: a client back in 17 ms, as a retry is, fed the jam.
@@ -228,7 +228,7 @@
         self._waiting[call.timer_token] = call
         self._actions.append(SetTimer(self._token, delay_ms))
 
-    def _on_timer(self, event: TimerFired, now: float) -> None:
+    def _on_timer(self, event: TimerFired, now_ms: float) -> None:
         if event.token == SUBSCRIBE_TOKEN:
             self._actions.append(Subscribe())
         call = self._waiting.pop(event.token, None)
@@ -236,39 +236,41 @@
             if call.queued:
                 self._end(call)
             else:
-                self._attempt(call, now)
+                self._attempt(call, now_ms)
 
     # Outcomes
 
-    def _on_ended(self, event: AttemptEnded, now: float) -> None:
+    def _on_ended(self, event: AttemptEnded, now_ms: float) -> None:
         call, server = self._calls.get(event.request_id), self.fleet.servers.get(event.server_id)
         self.inflight -= 1
         if server is not None:
-            self._take_outcome(server, call, event, now)
+            self._take_outcome(server, call, event, now_ms)
         if call is not None and event.request_finished:
             del self._calls[event.request_id]
-            self.record.ended(call.cls.name, now - call.arrived_at_ms <= call.cls.objective_ms)
-            self.record.answered(call.cls.name, event.duration_ms)
+            self.record.ended(
+                call.request_class.name, now_ms - call.arrived_at_ms <= call.request_class.objective_ms
+            )
+            self.record.answered(call.request_class.name, event.duration_ms)
         elif call is not None:
-            self._retry(call, event, now)
-        self._release(now)
+            self._retry(call, event, now_ms)
+        self._release(now_ms)
 
-    def _take_outcome(self, server: Server, call: Call | None, event: AttemptEnded, now: float) -> None:
+    def _take_outcome(self, server: Server, call: Call | None, event: AttemptEnded, now_ms: float) -> None:
         # None: sent before the server started anew, or left the list and came back: no news of it.
         sent = server.calls.pop(event.request_id, None)
-        server.used_ms = now
+        server.used_ms = now_ms
         if call is not None and call.idle_ms:
-            usual_ms = self.usual_delay.share * call.cls.objective_ms
+            usual_ms = self.usual_delay.share * call.request_class.objective_ms
             self._idle_limit.judge(call.idle_ms, event.outcome, event.duration_ms, usual_ms)
         if sent is None:
             return
         if event.load_report:
-            server.queue, server.report_ms = event.load_report.get("queue", 0.0), now
-        self._ejection.learn(server, event.outcome, self._selector.ejected_share(now), now)
-        self._measure(server, *sent, event, now)
-        self._selector.update(server, now)
+            server.queue, server.report_ms = event.load_report.get("queue", 0.0), now_ms
+        self._ejection.learn(server, event.outcome, self._selector.ejected_share(now_ms), now_ms)
+        self._measure(server, *sent, event, now_ms)
+        self._selector.update(server, now_ms)
 
-    def _retry(self, call: Call, event: AttemptEnded, now: float) -> None:
+    def _retry(self, call: Call, event: AttemptEnded, now_ms: float) -> None:
         """Try a call again whose attempt has failed, as the loop and the class allow, or end it."""
         call.out = False
         if (
@@ -278,17 +280,17 @@
         ):
             call.first_possible_run_at_ms, call.deduplication_group = (
                 call.sent_at_ms,
-                call.last_server.group(call.cls.deduplication_scope),
+                call.last_server.group(call.request_class.deduplication_scope),
             )
-        if self._rng.random() < self.controller.retry_probability(now):
+        if self._rng.random() < self.controller.retry_probability(now_ms):
             # As the paper's timer runs from the send, a time-out has been waited for already.
             timed_out = event.outcome is Outcome.TIMEOUT
-            self._wait_or_end(call, now, event.duration_ms if timed_out else 0.0)
+            self._wait_or_end(call, now_ms, event.duration_ms if timed_out else 0.0)
         else:
             self._end(call)
 
     def _measure(
-        self, server: Server, sent_at_ms: float, objective_ms: float, event: AttemptEnded, now: float
+        self, server: Server, sent_at_ms: float, objective_ms: float, event: AttemptEnded, now_ms: float
     ) -> None:
         """What an outcome tells of the delay, also if nobody waits for the answer any more.
 
@@ -299,16 +301,16 @@
             self.usual_delay.note(event.duration_ms / objective_ms)
             usual = self.usual_delay.share
             if usual and (served or sent_at_ms >= server.latest_served_ms):
-                server.judge_delay(event.duration_ms / objective_ms / usual, now)
+                server.judge_delay(event.duration_ms / objective_ms / usual, now_ms)
             if served:
                 server.latest_served_ms = max(server.latest_served_ms, sent_at_ms)
-            self.controller.answered(event.duration_ms, objective_ms, now, served)
+            self.controller.answered(event.duration_ms, objective_ms, now_ms, served)
         elif event.outcome is Outcome.REJECTED:  # full is as slow as a server gets
-            self.controller.answered(objective_ms, objective_ms, now, False)
+            self.controller.answered(objective_ms, objective_ms, now_ms, False)
 
-    def _on_list(self, event: EndpointUpdate, now: float) -> None:
+    def _on_list(self, event: EndpointUpdate, now_ms: float) -> None:
         if event.kind is UpdateKind.FAILED:
             wait_ms = subscription_backoff_ms(self.settings.poll_interval_ms, self._rng)
             return self._actions.append(SetTimer(SUBSCRIBE_TOKEN, wait_ms))
-        self._selector.apply(self.fleet.apply(event, now), now)
-        self._release(now)
+        self._selector.apply(self.fleet.apply(event, now_ms), now_ms)
+        self._release(now_ms)
--- a/workspond/policy/call.py
+++ b/workspond/policy/call.py
@@ -13,7 +13,7 @@
     __slots__ = (
         "arrived_at_ms",
         "attempts",
-        "cls",
+        "request_class",
         "deadline_at_ms",
         "first_possible_run_at_ms",
         "id",
@@ -28,16 +28,18 @@
         "useful_until_ms",
     )
 
-    def __init__(self, event: RequestReceived, cls: RequestClass, now: float) -> None:
-        self.id, self.cls = event.request_id, cls
+    def __init__(self, event: RequestReceived, request_class: RequestClass, now_ms: float) -> None:
+        self.id, self.request_class = event.request_id, request_class
         self.over_quota = False  # beyond its tenant's share
-        self.arrived_at_ms, self.deadline_at_ms = now, now + event.ttl_ms
+        self.arrived_at_ms, self.deadline_at_ms = now_ms, now_ms + event.ttl_ms
         # Until when an answer is worth anything: past the aim often nothing, though the caller still waits.
         self.useful_until_ms = (
-            self.deadline_at_ms if cls.late_fraction else min(self.deadline_at_ms, now + cls.objective_ms)
+            self.deadline_at_ms
+            if request_class.late_fraction
+            else min(self.deadline_at_ms, now_ms + request_class.objective_ms)
         )
         self.attempts = 0
-        self.out, self.sent_at_ms = False, now  # whether an attempt is out, and since when,
+        self.out, self.sent_at_ms = False, now_ms  # whether an attempt is out, and since when,
         self.idle_ms = 0.0  # on a connection that had idled for so long
         self.queued, self.timer_token = False, 0  # waits for room; the timer it waits for
         self.last_server: Server | None = None
--- a/workspond/policy/fleet.py
+++ b/workspond/policy/fleet.py
@@ -35,7 +35,7 @@
         self._ready: dict[int, Server] = {}  # those in service that are this copy's to use
         self._subset = Subset(settings.replica_index, settings.replicas, SLICES)
         self._groups = GroupIndex()  # those in service
-        self._group_kinds = {cls.deduplication_scope for cls in settings.classes}
+        self._group_kinds = {request_class.deduplication_scope for request_class in settings.classes}
         self.parts = 0.0  # the sum of what is its to use of them
 
     @property
@@ -66,7 +66,7 @@
         """Whether a server is still listed as the process that it was."""
         return self.servers.get(server.id) is server
 
-    def apply(self, news: EndpointUpdate, now: float) -> FleetChange:
+    def apply(self, news: EndpointUpdate, now_ms: float) -> FleetChange:
         """Take changes, or a whole list that replaces the old one."""
         change = FleetChange()
         if news.kind is not UpdateKind.INCREMENTAL:
@@ -74,12 +74,12 @@
             for id in self.servers.keys() - named:
                 self._remove(self.servers[id], change)
         for entry in news.endpoints:
-            self._take(entry, now, change)
+            self._take(entry, now_ms, change)
         self._subset.use_slices(SLICES)
-        self._recut(now, change)
+        self._recut(now_ms, change)
         return change
 
-    def _take(self, entry: Endpoint, now: float, change: FleetChange) -> None:
+    def _take(self, entry: Endpoint, now_ms: float, change: FleetChange) -> None:
         server = self.servers.get(entry.server_id)
         if entry.state is EndpointState.REMOVED:
             if server is not None:
@@ -89,7 +89,7 @@
             self._remove(server, change)  # of a new process nothing is known, also where one of that name was
             server = None
         if server is None:
-            server = self.servers[entry.server_id] = Server(entry, now, self._rng)
+            server = self.servers[entry.server_id] = Server(entry, now_ms, self._rng)
         elif not server.update(entry):
             return
         if not self.uses(server):
@@ -115,18 +115,18 @@
 
     def draw_repeat_group(self, call: Call, most: int) -> list[Server]:
         """Servers that a call which may have run can still go to, so many at most."""
-        group: DeduplicationScope = call.cls.deduplication_scope
+        group: DeduplicationScope = call.request_class.deduplication_scope
         return self._groups.draw((group, call.deduplication_group), most, self._rng)
 
-    def grow(self, now: float) -> FleetChange:
+    def grow(self, now_ms: float) -> FleetChange:
         """Use twice as many slices, where there are more: a busy caller needs more of the fleet."""
         change = FleetChange()
         if self.slices < self._nodes:
             self._subset.use_slices(2 * self.slices)
-            self._recut(now, change)
+            self._recut(now_ms, change)
         return change
 
-    def _recut(self, now: float, change: FleetChange) -> None:
+    def _recut(self, now_ms: float, change: FleetChange) -> None:
         """Use what the subset says: many copies going round all servers need too many connections."""
         changed = self._subset.update()
         for id in changed:
@@ -140,7 +140,7 @@
             server = self.servers[id]
             if used is None:  # it has saved up nothing while it was not this copy's
                 self._ready[id] = server
-                server.budget = TokenBucket(min(server.budget.tokens, self._rng.random()), now)
+                server.budget = TokenBucket(min(server.budget.tokens, self._rng.random()), now_ms)
             server.part = part
             change.touched.append(server)
         if changed:
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -5,8 +5,8 @@
 import math
 import random
 
-from workspond.policy.averages import PEER_SAMPLES
 from workspond.policy.events import Outcome
+from workspond.policy.request_statistics import PEER_SAMPLES
 from workspond.policy.server import Server
 
 EJECT_MS, EJECT_DOUBLINGS = 1_000.0, 5  # the first time out; how often it doubles
@@ -23,19 +23,19 @@
         self._rng = rng
         self._errors = 0.0  # the share of all recent attempts
 
-    def learn(self, server: Server, result: Outcome, ejected_share: float, now: float) -> None:
+    def learn(self, server: Server, result: Outcome, ejected_share: float, now_ms: float) -> None:
         """What an outcome tells of the server's health; `ejected_share`: of its peers that are out now."""
         if result in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             held = min(server.inflight_limit, float(server.inflight))
             server.inflight_limit = max(1.0, held * LIMIT_CUT)
             if result is Outcome.CONNECT_FAILED and not server.inflight:  # down, or out of connections
-                self._eject(server, now)
+                self._eject(server, now_ms)
         elif result is Outcome.SUCCESS:
             server.inflight_limit += 1.0 / server.inflight_limit
         if result in (Outcome.SUCCESS, Outcome.ERROR, Outcome.RESET):
-            self._weigh(server, result is not Outcome.SUCCESS, ejected_share, now)
+            self._weigh(server, result is not Outcome.SUCCESS, ejected_share, now_ms)
 
-    def _weigh(self, server: Server, bad: bool, ejected_share: float, now: float) -> None:
+    def _weigh(self, server: Server, bad: bool, ejected_share: float, now_ms: float) -> None:
         # Fast errors look like low delay: weigh failing half its calls against failing like its peers.
         peers = max(ERROR_FLOOR, min(self._errors, BAD_RATIO))
         self._errors += (bad - self._errors) / PEER_SAMPLES
@@ -43,14 +43,14 @@
         server.error_log_odds = max(0.0, server.error_log_odds + step)
         if server.error_log_odds >= EJECT_LOG_ODDS:
             if ejected_share < EJECT_SHARE:
-                self._eject(server, now)
+                self._eject(server, now_ms)
             server.error_log_odds = EJECT_LOG_ODDS / 2.0  # on its return it is on probation
         elif not server.error_log_odds:
             server.ejections = 0
 
-    def _eject(self, server: Server, now: float) -> None:
+    def _eject(self, server: Server, now_ms: float) -> None:
         """Keep away for a while, longer each time in a row, with jitter; it then returns by itself."""
-        if now >= server.ejected_until_ms:
+        if now_ms >= server.ejected_until_ms:
             doubled = 2.0 ** min(server.ejections, EJECT_DOUBLINGS)
-            server.ejected_until_ms = now + EJECT_MS * doubled * (0.5 + self._rng.random())
+            server.ejected_until_ms = now_ms + EJECT_MS * doubled * (0.5 + self._rng.random())
             server.ejections += 1
--- a/workspond/policy/request_queue.py
+++ b/workspond/policy/request_queue.py
@@ -19,12 +19,12 @@
     def latest_ms(self, call: Call, tier: int) -> float:
         """Until when a call may wait: an answer within its aim must still be possible."""
         share = HOLD_SHARES[tier > 0]
-        return min(call.arrived_at_ms + share * call.cls.objective_ms, call.deadline_at_ms)
+        return min(call.arrived_at_ms + share * call.request_class.objective_ms, call.deadline_at_ms)
 
     def add(self, call: Call) -> None:
         """Let a call wait."""
         call.queued = True
-        self._queues.setdefault((call.cls.name, call.over_quota), deque()).append(call)
+        self._queues.setdefault((call.request_class.name, call.over_quota), deque()).append(call)
 
     def by_value(self, value: Callable[[str, bool], float]) -> Iterator[deque[Call]]:
         """The queues that are not empty, that of most value first."""
--- a/workspond/policy/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -8,7 +8,7 @@
 
 import math
 
-from workspond.policy.averages import EventRate
+from workspond.policy.moving_averages import EventRate
 
 TARGET_SHARE = 0.4  # tau0, the target round trip delay, as a share of the aim of what was answered
 SHED_MOST = 0.8  # of first sends may be shed for delay: the rest keeps the measurement going
@@ -33,13 +33,13 @@
         self.tuned_rate = self.integral = self.allowed_rate = 0.0
         self._excess = self._shed = 0.0  # integral for first sends, by nu1; the share of them to shed
 
-    def answered(self, delay_ms: float, objective_ms: float, now: float, served: bool) -> None:
+    def answered(self, delay_ms: float, objective_ms: float, now_ms: float, served: bool) -> None:
         """Take a delay sample and set r = KP e + KI * integral of e, clamped with its integral."""
         # Its own clock: the window reads the rate too, and the integral once ran on what time was left.
-        faded = math.exp(min(0.0, self._last_ms - now) / RATE_WINDOW_MS)
-        passed_s, self._last_ms = max(0.0, min(now - self._last_ms, RATE_WINDOW_MS)) / 1000.0, now
-        self.answers.count(served, now)
-        self.failures.count(0.0, now)  # so that its clock runs too
+        faded = math.exp(min(0.0, self._last_ms - now_ms) / RATE_WINDOW_MS)
+        passed_s, self._last_ms = max(0.0, min(now_ms - self._last_ms, RATE_WINDOW_MS)) / 1000.0, now_ms
+        self.answers.count(served, now_ms)
+        self.failures.count(0.0, now_ms)  # so that its clock runs too
         # Old samples fade with time too: a copy that sheds gets few new ones, and went on shedding for these.
         kept = min(1.0 - 1.0 / SAMPLES, faded)
         self._samples = self._samples * kept + 1.0
@@ -58,9 +58,9 @@
         self._excess = min(max(self._excess * faded - self._ki * error_s * passed_s, 0.0), SHED_MOST)
         self._shed = min(max(self._excess - self._kp * error_s, 0.0), SHED_MOST)
 
-    def shed_share(self, now: float) -> float:
+    def shed_share(self, now_ms: float) -> float:
         """The share of first sends to shed; it fades, as a copy that sheds all sees no answers any more."""
-        return self._shed * math.exp(min(0.0, self._last_ms - now) / RATE_WINDOW_MS)
+        return self._shed * math.exp(min(0.0, self._last_ms - now_ms) / RATE_WINDOW_MS)
 
     def mean_aim_s(self) -> float:
         """The aim of what was answered lately; at least one answer must have come."""
@@ -74,7 +74,7 @@
         """The share of the answer rate that retries may reach."""
         return self.allowed_rate / (self.tuned_rate or 1.0)
 
-    def retry_probability(self, now: float) -> float:
+    def retry_probability(self, now_ms: float) -> float:
         """Count a failure; its retry's probability is r over the measured failure rate."""
-        self.failures.count(1.0, now)
+        self.failures.count(1.0, now_ms)
         return min(1.0, self.allowed_rate / self.failures.per_s()) if self.tuned_rate else 1.0
--- a/workspond/policy/retry_policy.py
+++ b/workspond/policy/retry_policy.py
@@ -9,9 +9,9 @@
 import math
 import random
 
-from workspond.policy.averages import SlidingWindowCounter
 from workspond.policy.call import Call
 from workspond.policy.events import Outcome
+from workspond.policy.moving_averages import SlidingWindowCounter
 from workspond.policy.settings import Idempotency, Settings
 
 RETRY_WAIT_MS, RETRY_WAIT_SHARE = 500.0, 0.05  # T1, or less by aim
@@ -32,56 +32,65 @@
         self._further = SlidingWindowCounter(settings.retry_budget_window_ms + settings.tick_ms)
         self._never_ran = NEVER_RAN - ({Outcome.REJECTED} if settings.rejected_may_have_run else set())
 
-    def count_request(self, now: float) -> None:
+    def count_request(self, now_ms: float) -> None:
         """Count a request for the budget of further attempts."""
-        self._taken.add(now)
+        self._taken.add(now_ms)
 
-    def count_retry(self, now: float) -> None:
+    def count_retry(self, now_ms: float) -> None:
         """Count an attempt beyond a request's first."""
-        self._further.add(now)
+        self._further.add(now_ms)
 
-    def in_budget(self, now: float) -> bool:
+    def in_budget(self, now_ms: float) -> bool:
         """Whether the stated budget of attempts beyond the first bears one more now."""
-        ratio, taken = self._settings.retry_budget_ratio, self._taken.count(now)
+        ratio, taken = self._settings.retry_budget_ratio, self._taken.count(now_ms)
         return (
-            ratio is None or self._further.count(now) + 1 <= self._settings.retry_budget_floor + ratio * taken
+            ratio is None
+            or self._further.count(now_ms) + 1 <= self._settings.retry_budget_floor + ratio * taken
         )
 
     def may_have_run(self, result: Outcome) -> bool:
         """Whether an attempt that ended so may have run."""
         return result not in self._never_ran
 
-    def repeatable(self, call: Call, now: float) -> bool:
+    def repeatable(self, call: Call, now_ms: float) -> bool:
         """Whether the class lets the call go out (again)."""
-        return now < self.repeat_ends_ms(call)
+        return now_ms < self.repeat_ends_ms(call)
 
     def repeat_ends_ms(self, call: Call) -> float:
         """From when on the call must not go out (again)."""
-        if call.first_possible_run_at_ms is None or call.cls.idempotency is Idempotency.IDEMPOTENT:
+        if call.first_possible_run_at_ms is None or call.request_class.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
-        if call.cls.idempotency is Idempotency.NON_IDEMPOTENT:
+        if call.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return -math.inf
-        return call.first_possible_run_at_ms + call.cls.deduplication_window_ms - self._settings.tick_ms
+        return (
+            call.first_possible_run_at_ms
+            + call.request_class.deduplication_window_ms
+            - self._settings.tick_ms
+        )
 
     def _backoff_ms(self, call: Call) -> float:
-        base = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * call.cls.objective_ms)
+        base = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * call.request_class.objective_ms)
         return base * 2.0 ** max(0, call.attempts - 1)
 
-    def next_wait_ms(self, call: Call, now: float, usual_share: float, waited_ms: float) -> float | None:
+    def next_wait_ms(self, call: Call, now_ms: float, usual_share: float, waited_ms: float) -> float | None:
         """The wait before the next attempt, doubling; None where none can be made in time.
 
         `usual_share` is the usual delay over the aim; `waited_ms` has passed already.
         """
         wait_ms = max(0.0, self._backoff_ms(call) * (0.5 + self._rng.random()) - waited_ms)
         # Its answer must still be able to come: tier 0 sent retries with 3 ms left, all of them waste.
-        starts_ms = now + wait_ms + max(2.0 * self._settings.tick_ms, usual_share * call.cls.objective_ms)
+        starts_ms = (
+            now_ms
+            + wait_ms
+            + max(2.0 * self._settings.tick_ms, usual_share * call.request_class.objective_ms)
+        )
         more = call.attempts < self._settings.max_attempts and self.repeatable(call, starts_ms)
         return wait_ms if starts_ms < call.useful_until_ms and more else None
 
     def attempt_timeout_ms(self, call: Call, left_ms: float, usual_share: float, measured: bool) -> float:
         """How long the attempt that has just been counted is waited for; `measured`: the usual delay is."""
-        cls, settings = call.cls, self._settings
-        once = cls.idempotency is Idempotency.NON_IDEMPOTENT
+        request_class, settings = call.request_class, self._settings
+        once = request_class.idempotency is Idempotency.NON_IDEMPOTENT
         last = once or call.attempts == settings.max_attempts
         longest_ms = left_ms if last else TIMEOUT_SHARE * left_ms
         # i2750ee: calls to a lost zone that wait out a whole deadline fill the slots of the tier above.
@@ -92,5 +101,5 @@
         in_time = (FIRST_DELAYS + 1.0) * usual_share <= FIRST_SHARE / (1 + settings.tier)
         delays = FIRST_DELAYS if call.attempts == 1 and not once and in_time else PATIENT_DELAYS
         # The retry waits its back-off from this send in any case: given up sooner, an attempt is only lost.
-        usual_ms = max(delays * usual_share * cls.objective_ms, self._backoff_ms(call))
+        usual_ms = max(delays * usual_share * request_class.objective_ms, self._backoff_ms(call))
         return min(usual_ms if measured else left_ms, longest_ms)
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -59,17 +59,19 @@
         "zone",
     )
 
-    def __init__(self, entry: Endpoint, now: float, rng: random.Random) -> None:
+    def __init__(self, entry: Endpoint, now_ms: float, rng: random.Random) -> None:
         self.id = entry.server_id
         self.calls: dict[str, tuple[float, float]] = {}  # when each call out was sent, and its aim
         self.latest_served_ms = -math.inf  # when the latest sent of the calls that it served was sent
-        self.queue, self.report_ms = 0.0, now  # requests it last said were waiting there, and when it did
-        self.slowness, self.slow_ms = 1.0, now  # its delay over its peers', averaged, and when that was
+        self.queue, self.report_ms = 0.0, now_ms  # requests it last said were waiting there, and when it did
+        self.slowness, self.slow_ms = 1.0, now_ms  # its delay over its peers', averaged, and when that was
         self.ejected_until_ms, self.ejections = -math.inf, 0  # how often in a row
-        self.used_ms = now  # when a connection to it was last in use
+        self.used_ms = now_ms  # when a connection to it was last in use
         self.error_log_odds = 0.0  # that it fails much more often than its peers
         self.inflight_limit = math.inf  # once it has turned an attempt away
-        self.budget = TokenBucket(rng.random(), now)  # while cold; random, as all copies learn of it at once
+        self.budget = TokenBucket(
+            rng.random(), now_ms
+        )  # while cold; random, as all copies learn of it at once
         self.budget_per_ms = 0.0  # what came into it when it was last looked at
         self._read(entry)
         self.part = self.share  # of it that is this copy's to use
@@ -103,13 +105,13 @@
         """Calls of this copy that are out to it."""
         return len(self.calls)
 
-    def _slowness_at(self, now: float) -> float:
-        return 1.0 + (self.slowness - 1.0) * math.exp((self.slow_ms - now) / SLOW_FADE_MS)
+    def _slowness_at(self, now_ms: float) -> float:
+        return 1.0 + (self.slowness - 1.0) * math.exp((self.slow_ms - now_ms) / SLOW_FADE_MS)
 
-    def judge_delay(self, ratio: float, now: float) -> None:
+    def judge_delay(self, ratio: float, now_ms: float) -> None:
         """Take the delay of one answer over its peers'."""
-        slowness = self._slowness_at(now)
-        self.slowness, self.slow_ms = slowness + (min(ratio, SLOW_MOST) - slowness) / SLOW_SAMPLES, now
+        slowness = self._slowness_at(now_ms)
+        self.slowness, self.slow_ms = slowness + (min(ratio, SLOW_MOST) - slowness) / SLOW_SAMPLES, now_ms
 
     def _waiting_call(self) -> tuple[float, float] | None:
         """The oldest call out that no later one has overtaken: when it was sent, and its aim."""
@@ -122,44 +124,44 @@
                 return call
         return None
 
-    def speed(self, now: float, usual_share: float) -> float:
+    def speed(self, now_ms: float, usual_share: float) -> float:
         """What is left of its weight, once it is clearly slower than its peers, or keeps a call waiting."""
-        slowness = max(self._slowness_at(now), SLOW_FROM) if self.slowness > SLOW_FROM else SLOW_FROM
+        slowness = max(self._slowness_at(now_ms), SLOW_FROM) if self.slowness > SLOW_FROM else SLOW_FROM
         if self.calls and usual_share and (waiting := self._waiting_call()) is not None:
-            slowness = max(slowness, (now - waiting[0]) / (usual_share * waiting[1]) / OVERDUE)
+            slowness = max(slowness, (now_ms - waiting[0]) / (usual_share * waiting[1]) / OVERDUE)
         speed = math.pow(SLOW_FROM / slowness, SLOW_POWER) if slowness > SLOW_FROM else 1.0
-        queue = self._queue_at(now) if self.queue else 0.0
+        queue = self._queue_at(now_ms) if self.queue else 0.0
         return speed / (1.0 + queue) ** QUEUE_POWER if queue else speed
 
-    def _queue_at(self, now: float) -> float:
-        queue = self.queue * math.exp((self.report_ms - now) / REPORT_FADE_MS)
+    def _queue_at(self, now_ms: float) -> float:
+        queue = self.queue * math.exp((self.report_ms - now_ms) / REPORT_FADE_MS)
         return queue if queue >= LEAST_QUEUE else 0.0
 
-    def speed_changes_ms(self, now: float, usual_share: float) -> float:
+    def speed_changes_ms(self, now_ms: float, usual_share: float) -> float:
         """When its speed, or the calls that count as lost, will be another by more than a little."""
         due_ms = math.inf
-        slowness = self._slowness_at(now) if self.slowness > SLOW_FROM else 1.0
+        slowness = self._slowness_at(now_ms) if self.slowness > SLOW_FROM else 1.0
         if slowness > SLOW_FROM:
-            due_ms = now + WEIGHT_STEP * SLOW_FADE_MS * slowness / (slowness - 1.0) / SLOW_POWER
-        if self.queue and (queue := self._queue_at(now)):
-            due_ms = min(due_ms, now + WEIGHT_STEP * REPORT_FADE_MS * (1.0 + queue) / queue / QUEUE_POWER)
+            due_ms = now_ms + WEIGHT_STEP * SLOW_FADE_MS * slowness / (slowness - 1.0) / SLOW_POWER
+        if self.queue and (queue := self._queue_at(now_ms)):
+            due_ms = min(due_ms, now_ms + WEIGHT_STEP * REPORT_FADE_MS * (1.0 + queue) / queue / QUEUE_POWER)
         if not self.calls or not usual_share:
             return due_ms
         waiting = self._waiting_call()
         if waiting is not None:
             overdue_ms = waiting[0] + OVERDUE * max(slowness, SLOW_FROM) * usual_share * waiting[1]
-            step_ms = now + max(1.0, WEIGHT_STEP / SLOW_POWER * (now - waiting[0]))
+            step_ms = now_ms + max(1.0, WEIGHT_STEP / SLOW_POWER * (now_ms - waiting[0]))
             due_ms = min(due_ms, max(overdue_ms, step_ms))
         for sent_at_ms, objective_ms in self.calls.values():
             lost_ms = sent_at_ms + LOST * usual_share * objective_ms
-            if sent_at_ms < self.latest_served_ms and now <= lost_ms:
+            if sent_at_ms < self.latest_served_ms and now_ms <= lost_ms:
                 due_ms = min(due_ms, lost_ms + 1.0)
         return due_ms
 
-    def lost_calls(self, now: float, usual_share: float) -> int:
+    def lost_calls(self, now_ms: float, usual_share: float) -> int:
         """How many of its calls out it can't be working on, as far as can be told."""
         return sum(
-            sent_at_ms < self.latest_served_ms and now - sent_at_ms > LOST * usual_share * objective_ms
+            sent_at_ms < self.latest_served_ms and now_ms - sent_at_ms > LOST * usual_share * objective_ms
             for sent_at_ms, objective_ms in self.calls.values()
         )
 
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -13,9 +13,9 @@
 import random
 from dataclasses import dataclass
 
-from workspond.policy.averages import TypicalDelay
 from workspond.policy.call import Call
 from workspond.policy.fleet import Fleet, FleetChange
+from workspond.policy.request_statistics import TypicalDelay
 from workspond.policy.server import Server
 from workspond.policy.slow_start import SlowStart
 from workspond.policy.weighted_round_robin import Rotation
@@ -60,32 +60,32 @@
 
     # What is known of servers
 
-    def apply(self, change: FleetChange, now: float) -> None:
+    def apply(self, change: FleetChange, now_ms: float) -> None:
         """Take what the list has changed."""
         for server in change.left:
             self._forget(server)
         for server in change.touched:
-            self.update(server, now)
+            self.update(server, now_ms)
 
-    def update(self, server: Server, now: float) -> None:
+    def update(self, server: Server, now_ms: float) -> None:
         """Work out anew what is known of a server, if it is this copy's to use."""
         if not self._fleet.uses(server):
             return
         usual, slow_start = self._usual.share, self._slow_start
-        warmth = slow_start.warmth(server, now)
-        has_budget = warmth >= 1.0 or slow_start.budget(server, warmth, self._fleet.parts, now) >= 1.0
-        weight = self._weight_of(server, warmth, now)
-        lost = server.lost_calls(now, usual) if server.calls else 0
-        ejected = now < server.ejected_until_ms
+        warmth = slow_start.warmth(server, now_ms)
+        has_budget = warmth >= 1.0 or slow_start.budget(server, warmth, self._fleet.parts, now_ms) >= 1.0
+        weight = self._weight_of(server, warmth, now_ms)
+        lost = server.lost_calls(now_ms, usual) if server.calls else 0
+        ejected = now_ms < server.ejected_until_ms
         self._count(server, weight if has_budget else 0.0, lost, ejected)
         selectable = has_budget and server.inflight < server.inflight_limit
         rotation = (self._ejected if ejected else self._open) if selectable else None
         self._place(server, rotation, (server.inflight - lost) / server.part, weight)
-        due_ms = min(server.speed_changes_ms(now, usual), slow_start.changes_ms(server, warmth, now))
+        due_ms = min(server.speed_changes_ms(now_ms, usual), slow_start.changes_ms(server, warmth, now_ms))
         self._look_again(server, min(due_ms, server.ejected_until_ms) if ejected else due_ms)
 
-    def _weight_of(self, server: Server, warmth: float, now: float) -> float:
-        speed = max(warmth * server.speed(now, self._usual.share), LEAST_SPEED)
+    def _weight_of(self, server: Server, warmth: float, now_ms: float) -> float:
+        speed = max(warmth * server.speed(now_ms, self._usual.share), LEAST_SPEED)
         return max(server.part * speed, LEAST_WEIGHT)
 
     def _forget(self, server: Server) -> None:
@@ -124,34 +124,34 @@
             heapq.heappush(self._due, (due_ms, next(self._serial), server))
         server.due_ms = due_ms
 
-    def refresh(self, now: float) -> None:
+    def refresh(self, now_ms: float) -> None:
         """Look at servers whose time has come: those of longest ago, so many at most."""
         looked = 0
-        while self._due and self._due[0][0] <= now and looked < MOST_DUE:
+        while self._due and self._due[0][0] <= now_ms and looked < MOST_DUE:
             due_ms, _, server = heapq.heappop(self._due)
             if server.due_ms == due_ms:
-                self.update(server, now)
+                self.update(server, now_ms)
                 looked += 1
 
-    def lost_calls(self, now: float) -> int:
+    def lost_calls(self, now_ms: float) -> int:
         """How many calls are out that no server can be working on, as far as can be told."""
-        self.refresh(now)
+        self.refresh(now_ms)
         return self._lost_calls
 
-    def ejected_share(self, now: float) -> float:
+    def ejected_share(self, now_ms: float) -> float:
         """The share of this copy's servers that are ejected."""
-        self.refresh(now)
+        self.refresh(now_ms)
         return self._ejected_count / (self._fleet.ready_count or 1)
 
     # Picks
 
-    def pick(self, call: Call, now: float) -> Server | None:
+    def pick(self, call: Call, now_ms: float) -> Server | None:
         """The server for the call's next attempt; None where none may get one now."""
         if call.first_possible_run_at_ms is not None:
-            return self._pick_in_group(call, now)
-        self.refresh(now)
+            return self._pick_in_group(call, now_ms)
+        self.refresh(now_ms)
         if self._fleet.parts:
-            self._slow_start.note_warm_share(max(0.0, self._weight) / self._fleet.parts, now)
+            self._slow_start.note_warm_share(max(0.0, self._weight) / self._fleet.parts, now_ms)
         last, rotation = call.last_server, self._open if self._open.size else self._ejected
         # Elsewhere than last time, where there is a choice.
         aside = last if last is not None and last in rotation and rotation.size > 1 else None
@@ -159,14 +159,14 @@
         if aside is not None and aside.place is not None:
             load = aside.place.load
             rotation.remove(aside)
-        server = self._leader(now)
+        server = self._leader(now_ms)
         if server is not None and server.place is not None:
             self._round_weight = server.place.rotation.charge(server)
         if aside is not None:
             rotation.add(aside, load)
         return server if server is not None else aside
 
-    def _leader(self, now: float) -> Server | None:
+    def _leader(self, now_ms: float) -> Server | None:
         """The server whose turn it is; what is known of it is up to date."""
         while True:
             # A slow or stuck server shows first by what it holds: passed over till its peers hold alike. With
@@ -174,15 +174,17 @@
             # idle.
             rotation = self._open if self._open.size else self._ejected
             server = rotation.leader()
-            if server is None or server.due_ms > now:
+            if server is None or server.due_ms > now_ms:
                 return server
-            self.update(server, now)
+            self.update(server, now_ms)
 
-    def _pick_in_group(self, call: Call, now: float) -> Server | None:
+    def _pick_in_group(self, call: Call, now_ms: float) -> Server | None:
         """The server for a call that may have run: of those that drop a repeat, the one furthest ahead."""
-        drawn = [self._candidate(server, now) for server in self._fleet.draw_repeat_group(call, GROUP_DRAWN)]
+        drawn = [
+            self._candidate(server, now_ms) for server in self._fleet.draw_repeat_group(call, GROUP_DRAWN)
+        ]
         usable = [candidate for candidate in drawn if candidate is not None]
-        found = [candidate for candidate in usable if now >= candidate.server.ejected_until_ms] or usable
+        found = [candidate for candidate in usable if now_ms >= candidate.server.ejected_until_ms] or usable
         if len(found) > 1:
             found = [candidate for candidate in found if candidate.server is not call.last_server]
         least = min((candidate.load for candidate in found), default=0.0)
@@ -196,17 +198,17 @@
         best.gain(-self._round_weight)
         return best.server
 
-    def _candidate(self, server: Server, now: float) -> Candidate | None:
+    def _candidate(self, server: Server, now_ms: float) -> Candidate | None:
         """A server as it is now, if it may get an attempt."""
         if self._fleet.uses(server):
-            if server.place is None or server.due_ms <= now:
-                self.update(server, now)
+            if server.place is None or server.due_ms <= now_ms:
+                self.update(server, now_ms)
             return Candidate(server, server.weight, server.place.load) if server.place is not None else None
         if server.inflight >= server.inflight_limit or not server.part:
             return None
-        warmth, usual = self._slow_start.warmth(server, now), self._usual.share
-        if warmth < 1.0 and self._slow_start.budget(server, warmth, self._fleet.parts, now) < 1.0:
+        warmth, usual = self._slow_start.warmth(server, now_ms), self._usual.share
+        if warmth < 1.0 and self._slow_start.budget(server, warmth, self._fleet.parts, now_ms) < 1.0:
             return None
-        weight = self._weight_of(server, warmth, now)
+        weight = self._weight_of(server, warmth, now_ms)
         self._start(server, weight)
-        return Candidate(server, weight, (server.inflight - server.lost_calls(now, usual)) / server.part)
+        return Candidate(server, weight, (server.inflight - server.lost_calls(now_ms, usual)) / server.part)
--- a/workspond/policy/token_bucket.py
+++ b/workspond/policy/token_bucket.py
@@ -8,18 +8,18 @@
 
     __slots__ = ("_since_ms", "tokens")
 
-    def __init__(self, tokens: float, now: float) -> None:
-        self.tokens, self._since_ms = tokens, now
+    def __init__(self, tokens: float, now_ms: float) -> None:
+        self.tokens, self._since_ms = tokens, now_ms
 
-    def refill(self, per_ms: float, most: float, now: float) -> float:
+    def refill(self, per_ms: float, most: float, now_ms: float) -> float:
         """Add what has come in since last time; the tokens there are."""
-        self.tokens = min(most, self.tokens + per_ms * (now - self._since_ms))
-        self._since_ms = now
+        self.tokens = min(most, self.tokens + per_ms * (now_ms - self._since_ms))
+        self._since_ms = now_ms
         return self.tokens
 
-    def take(self, per_ms: float, most: float, now: float) -> bool:
+    def take(self, per_ms: float, most: float, now_ms: float) -> bool:
         """Take a token, if there is one."""
-        if self.refill(per_ms, most, now) < 1.0:
+        if self.refill(per_ms, most, now_ms) < 1.0:
             return False
         self.tokens -= 1.0
         return True
--- a/workspond/settings_reader.py
+++ b/workspond/settings_reader.py
@@ -5,9 +5,7 @@
 
 from __future__ import annotations
 
-import math
-from typing import Any, TypeVar
-
+from workspond.json_fields import NUMBER, Json, choice, get, objects, optional
 from workspond.policy.settings import (
     DeduplicationScope,
     Idempotency,
@@ -17,8 +15,6 @@
     Tenant,
 )
 
-Json = dict[str, Any]
-
 REPEATS = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
@@ -29,14 +25,6 @@
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-KINDS: dict[type | tuple[type, ...], str] = {
-    str: "a string",
-    bool: "true or false",
-    int: "a whole number",
-    (int, float): "a number",
-    dict: "an object",
-    list: "an array",
-}
 # The wire's keys for those fields of the settings that have another name here.
 WIRE_KEYS = {
     "deadline_ms": "give_up_ms",
@@ -54,46 +42,6 @@
     "retry_budget_window_ms": "resend_span_ms",
     "tick_ms": "quantum_ms",
 }
-T = TypeVar("T")
-NUMBER = (int, float)
-MOST = 2**128  # of whole numbers: one that no float can hold stops the first sum with it
-
-
-class MalformedInputError(Exception):
-    """Input that does not follow the wire."""
-
-
-def get(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
-    try:
-        value = obj[key]
-    except KeyError:
-        raise MalformedInputError(f"{key!r} is missing") from None
-    if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-        raise MalformedInputError(f"{key!r} must be {KINDS[kind]}, not {value!r:.60}")
-    if isinstance(value, float) and not math.isfinite(value):
-        raise MalformedInputError(f"{key!r} must be a finite number, not {value!r}")
-    if isinstance(value, int) and abs(value) > MOST:
-        raise MalformedInputError(f"{key!r} is too large: {value!r:.60}")
-    return value
-
-
-def opt(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
-    return default if obj.get(key) is None else get(obj, key, kind)
-
-
-def word(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
-    value = get(obj, key, kind)
-    if value not in words:
-        raise MalformedInputError(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
-    return words[value]
-
-
-def objects(obj: Json, key: str) -> list[Json]:
-    values: list[Json] = get(obj, key, list)
-    for n, value in enumerate(values):
-        if not isinstance(value, dict):
-            raise MalformedInputError(f"{key}[{n}] must be an object, not {value!r:.60}")
-    return values
 
 
 def read_settings(env: Json) -> Settings:
@@ -119,10 +67,10 @@
             name=get(c, "name", str),
             objective_ms=get(c, "objective_ms", NUMBER),
             deadline_ms=get(c, "give_up_ms", NUMBER),
-            priority_weight=opt(c, "importance", NUMBER, 1.0),
-            late_fraction=opt(c, "late_worth", NUMBER, 0.0),
-            idempotency=word(c, "semantics", REPEATS),
-            deduplication_scope=word(c, "dedup_scope", GROUPS)
+            priority_weight=optional(c, "importance", NUMBER, 1.0),
+            late_fraction=optional(c, "late_worth", NUMBER, 0.0),
+            idempotency=choice(c, "semantics", REPEATS),
+            deduplication_scope=choice(c, "dedup_scope", GROUPS)
             if c.get("semantics") == "dedup"
             else DeduplicationScope.ALL,
             deduplication_window_ms=get(c, "window_ms", NUMBER) if c.get("semantics") == "dedup" else 0.0,
@@ -130,44 +78,48 @@
         for c in objects(env, "classes")
     ]
     tenants = [
-        Tenant(get(t, "name", str), opt(t, "fraction", NUMBER, 0.0), opt(t, "quota_per_s", NUMBER, 0.0))
+        Tenant(
+            get(t, "name", str), optional(t, "fraction", NUMBER, 0.0), optional(t, "quota_per_s", NUMBER, 0.0)
+        )
         for t in (objects(env, "tenants") if env.get("tenants") else [])
     ]
     allow, rules = get(env, "permissions", dict), get(env, "rules", dict)
-    prices = opt(env, "prices", dict, {})
-    worst = opt(opt(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
+    prices = optional(env, "prices", dict, {})
+    worst = optional(optional(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
     return Settings(
         classes=classes,
         tenants=tenants,
-        over_quota_fraction=opt(env, "over_share_worth", NUMBER, 1.0),
+        over_quota_fraction=optional(env, "over_share_worth", NUMBER, 1.0),
         worst_class_weight=worst / (1.0 - worst) if 0.0 <= worst < 1.0 else 0.0,
-        zone=opt(env, "locality", str, ""),
+        zone=optional(env, "locality", str, ""),
         replicas=max(1, get(env, "siblings", int)),
-        replica_index=opt(env, "my_number", int, 0),
-        tier=opt(env, "tier", int, 0),
-        tiers=max(1, len(opt(env, "stages", list, []))),
-        passes_deadline=opt(opt(env, "family_info", dict, {}), "passes_deadline", bool, False),
+        replica_index=optional(env, "my_number", int, 0),
+        tier=optional(env, "tier", int, 0),
+        tiers=max(1, len(optional(env, "stages", list, []))),
+        passes_deadline=optional(optional(env, "family_info", dict, {}), "passes_deadline", bool, False),
         requires_subscription=get(env, "membership_mode", str) == "on_request",
         poll_interval_ms=get(rules, "ask_every_ms", NUMBER),
         max_attempts=get(allow, "max_attempts", int),
-        parallel_attempts=opt(allow, "parallel_tries", bool, False),
-        can_cancel=opt(allow, "may_cancel", bool, False),
+        parallel_attempts=optional(allow, "parallel_tries", bool, False),
+        can_cancel=optional(allow, "may_cancel", bool, False),
         max_retry_after_ms=(
-            opt(allow, "max_retry_after_ms", NUMBER, 0.0) if opt(allow, "retry_after", bool, False) else 0.0
+            optional(allow, "max_retry_after_ms", NUMBER, 0.0)
+            if optional(allow, "retry_after", bool, False)
+            else 0.0
         ),
         connect_timeout_ms=get(allow, "connect_timeout_ms", NUMBER),
-        keepalive_ms=opt(allow, "keepalive_ms", NUMBER, 30_000.0),
-        tick_ms=opt(env, "quantum_ms", NUMBER, 0.0),
-        answer_slack_ms=opt(rules, "answer_slack_ms", NUMBER, 0.0),
+        keepalive_ms=optional(allow, "keepalive_ms", NUMBER, 30_000.0),
+        tick_ms=optional(env, "quantum_ms", NUMBER, 0.0),
+        answer_slack_ms=optional(rules, "answer_slack_ms", NUMBER, 0.0),
         drain_grace_ms=get(rules, "stop_sending_within_ms", NUMBER),
         start_capacity=get(rules, "start_capacity", NUMBER),
         ramp_time_ms=get(rules, "ramp_time_ms", NUMBER),
         overload_factor=get(rules, "overload_factor", NUMBER),
         overload_window_ms=get(rules, "overload_for_ms", NUMBER),
-        retry_budget_ratio=opt(rules, "repeat_ratio", NUMBER, None),
-        retry_budget_floor=opt(rules, "extra_floor", NUMBER, 0.0),
-        retry_budget_window_ms=opt(rules, "resend_span_ms", NUMBER, 0.0),
-        rejected_may_have_run=opt(rules, "full_may_have_run", bool, False),
-        cross_zone_price=opt(prices, "cross_zone", NUMBER, 0.0),
-        handshake_price=opt(prices, "handshake", NUMBER, 0.0),
+        retry_budget_ratio=optional(rules, "repeat_ratio", NUMBER, None),
+        retry_budget_floor=optional(rules, "extra_floor", NUMBER, 0.0),
+        retry_budget_window_ms=optional(rules, "resend_span_ms", NUMBER, 0.0),
+        rejected_may_have_run=optional(rules, "full_may_have_run", bool, False),
+        cross_zone_price=optional(prices, "cross_zone", NUMBER, 0.0),
+        handshake_price=optional(prices, "handshake", NUMBER, 0.0),
     )
--- a/workspond/simulator_adapter.py
+++ b/workspond/simulator_adapter.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 from typing import TextIO
 
+from workspond.json_fields import NUMBER, Json, MalformedInputError, choice, get, objects, optional
 from workspond.policy.actions import (
     CancelAttempt,
     CloseIdleConnections,
@@ -36,16 +37,7 @@
     TimerFired,
     UpdateKind,
 )
-from workspond.settings_reader import (
-    NUMBER,
-    Json,
-    MalformedInputError,
-    get,
-    objects,
-    opt,
-    read_settings,
-    word,
-)
+from workspond.settings_reader import read_settings
 
 HEALTH = {
     "in_service": EndpointState.IN_SERVICE,
@@ -74,12 +66,12 @@
     return [
         Endpoint(
             server_id=get(e, "server", int),
-            zone=opt(e, "failure_domain", str, ""),
-            machine_type=opt(e, "sku", str, ""),
-            cell=opt(e, "group", int, 0),
-            state=word(e, "health", HEALTH),
-            weight=opt(e, "share", NUMBER, 1.0),
-            started_at_ms=opt(e, "boot_time_ms", NUMBER, 0.0) or None,
+            zone=optional(e, "failure_domain", str, ""),
+            machine_type=optional(e, "sku", str, ""),
+            cell=optional(e, "group", int, 0),
+            state=choice(e, "health", HEALTH),
+            weight=optional(e, "share", NUMBER, 1.0),
+            started_at_ms=optional(e, "boot_time_ms", NUMBER, 0.0) or None,
         )
         for e in objects(item, "elements")
     ]
@@ -90,14 +82,14 @@
         get(item, "request_id", str),
         get(item, "type", str),
         get(item, "ttl_ms", NUMBER),
-        None if item.get("owner") == 0 else opt(item, "owner", str, None),  # 0: no tenants here
-        opt(item, "again_by_client", bool, False),
+        None if item.get("owner") == 0 else optional(item, "owner", str, None),  # 0: no tenants here
+        optional(item, "again_by_client", bool, False),
     )
 
 
 def _report(item: Json) -> dict[str, float] | None:
     """A load report; values that are absent are left out, negative ones (they are noisy) count as 0."""
-    report = opt(item, "report", dict, None)
+    report = optional(item, "report", dict, None)
     if report is None:
         return None
     return {name: max(0.0, get(report, name, NUMBER)) for name, value in report.items() if value is not None}
@@ -108,7 +100,7 @@
         get(item, "request_id", str),
         get(item, "send_no", int),
         get(item, "server", int),
-        word(item, "disposition", RESULTS, int),
+        choice(item, "disposition", RESULTS, int),
         get(item, "duration_ms", NUMBER),
         get(item, "settled", bool),
         _report(item),
@@ -219,7 +211,7 @@
             actions.append(_write(name, action))
 
     def _view(self, item: Json) -> PolicyEvent:
-        form = word(item, "form", FORMS)
+        form = choice(item, "form", FORMS)
         if form is UpdateKind.FAILED:
             return EndpointUpdate(form)
         bank = get(item, "bank", int)
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -17,7 +17,8 @@
 
 import httptools
 
-from workspond.config import Address, now_ms
+from workspond.address import Address
+from workspond.clock import now_ms
 from workspond.http.limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from workspond.policy.events import Outcome
 
--- a/workspond/upstream/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -11,7 +11,8 @@
 from collections.abc import Mapping, Set
 from enum import Enum
 
-from workspond.config import Address, now_ms
+from workspond.address import Address
+from workspond.clock import now_ms
 from workspond.policy.events import Outcome
 from workspond.policy.settings import Idempotency, Settings
 
