--- a/tests/plain_selection.py
+++ b/tests/plain_selection.py
@@ -38,7 +38,7 @@
         """The pick, once the walk has confirmed it."""
         if call.first_possible_run_at_ms is not None:
             return super().pick(call, now)
-        self.refresh(now)
+        self.refresh_due(now)
         candidates = self._walk(call, now)
         before = {server.id: self._ahead(server) for server in candidates}
         picked = super().pick(call, now)
@@ -50,30 +50,37 @@
 
     def _ahead(self, server: Server) -> float:
         """A server's credit once all have gained."""
-        credit = server.place.credit if server.place is not None else server.credit
-        return credit + rounded(server.weight)
+        credit = (
+            server.rotation_entry.current_weight
+            if server.rotation_entry is not None
+            else server.current_weight
+        )
+        return credit + rounded(server.effective_weight)
 
     def _walk(self, call: Call, now: float) -> list[Server]:
         """The servers that may be picked, worked out for this moment."""
-        usual = self._usual.share
+        usual = self._usual.objective_ratio
         ready = []
         for server in self._fleet.ready:
-            if server.due_ms <= now:
+            if server.refresh_at_ms <= now:
                 self.update(server, now)
-            warmth = self._slow_start.warmth(server, now)
-            if warmth < 1.0 and server.budget.tokens < 1.0:
+            warmth = self._slow_start.capacity_fraction(server, now)
+            if warmth < 1.0 and server.cold_budget.tokens < 1.0:
                 continue
-            weight = server.part * warmth * server.speed(now, usual)
+            weight = server.subset_weight * warmth * server.speed_factor(now, usual)
             # That of a busy server follows the usual delay, which jumps on such days; it is looked at soon.
-            unchanged = math.isclose(server.weight, weight, rel_tol=STALE) or weight < 2e-3 * server.part
-            assert server.calls or unchanged
-            if server.inflight < server.inflight_limit:
+            unchanged = (
+                math.isclose(server.effective_weight, weight, rel_tol=STALE)
+                or weight < 2e-3 * server.subset_weight
+            )
+            assert server.calls_in_flight or unchanged
+            if server.in_flight < server.in_flight_limit:
                 ready.append(server)
         found = [server for server in ready if now >= server.ejected_until_ms] or ready
         if call.last_server is not None and len(found) > 1:
             found = [server for server in found if server is not call.last_server]
         # Which calls are lost follows the usual delay too: taken as last worked out.
-        loads = [(server.inflight - server.lost) / server.part for server in found]
+        loads = [(server.in_flight - server.stalled_calls) / server.subset_weight for server in found]
         least = min(loads, default=0.0)
         return [server for server, load in zip(found, loads, strict=True) if load <= least]
 
@@ -81,9 +88,13 @@
         """It was furthest ahead, it has paid, the others have gained."""
         assert picked in candidates
         assert before[picked.id] >= max(before.values()) - 1e-6
-        weights = sum(server.weight for server in candidates)
-        paid = weights * rounded(picked.weight) / picked.weight
+        weights = sum(server.effective_weight for server in candidates)
+        paid = weights * rounded(picked.effective_weight) / picked.effective_weight
         for server in candidates:
-            after = server.place.credit if server.place is not None else server.credit
+            after = (
+                server.rotation_entry.current_weight
+                if server.rotation_entry is not None
+                else server.current_weight
+            )
             expected = before[server.id] - (paid if server is picked else 0.0)
             assert math.isclose(after, expected, rel_tol=1e-6, abs_tol=1e-6)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -180,7 +180,9 @@
             f"down-{n}", Outcome.CONNECT_FAILED if node.sent[f"down-{n}"][0] == 1 else Outcome.SUCCESS, 5.0
         )
     old = node.balancer.fleet.servers[1]
-    assert old.inflight_limit < math.inf and old.ejected_until_ms > node.now and old.budget.tokens >= 1.0
+    assert (
+        old.in_flight_limit < math.inf and old.ejected_until_ms > node.now and old.cold_budget.tokens >= 1.0
+    )
     while "late" not in node.sent or node.sent["late"][-1] != 1:
         old.ejected_until_ms, node.sent["late"] = -math.inf, []
         node.ask("late")
@@ -190,10 +192,10 @@
     assert node.balancer.fleet.servers[1] is old  # the same start, read by another clock
     node.change(Endpoint(1, "z", "k", 1, started_at_ms=node.now))
     new = node.balancer.fleet.servers[1]
-    assert (new.inflight_limit, new.ejections, new.slowness, new.inflight) == (math.inf, 0, 1.0, 0)
-    assert new.budget.tokens < 1.0
+    assert (new.in_flight_limit, new.ejections, new.relative_latency, new.in_flight) == (math.inf, 0, 1.0, 0)
+    assert new.cold_budget.tokens < 1.0
     node.end("late", Outcome.RESET)  # of the old process: it tells nothing of the new
-    assert not new.error_log_odds and not new.slowness > 1.0
+    assert not new.error_log_odds and not new.relative_latency > 1.0
 
 
 def test_a_new_copy_gets_on_where_all_servers_are_cold() -> None:
@@ -240,9 +242,9 @@
         node.ask(id)
         node.end(id, Outcome.SUCCESS, 400.0 if node.sent[id][0] == 0 else 50.0)
     slow = node.balancer.fleet.servers[0]
-    assert slow.speed(node.now, 0.0) < 0.5
+    assert slow.speed_factor(node.now, 0.0) < 0.5
     assert node.serve(20, gap_ms=0.0).count(0) <= 2  # a fair part is 5
-    assert slow.speed(node.now + 60_000.0, 0.0) == pytest.approx(1.0)
+    assert slow.speed_factor(node.now + 60_000.0, 0.0) == pytest.approx(1.0)
 
 
 def test_a_server_that_fails_fast_is_ejected_and_returns() -> None:
@@ -275,10 +277,10 @@
     for number in range(40):
         fleet = Node(60, replicas=40, replica_index=number).balancer.fleet
         assert len(fleet.ready) < 30
-        assert math.isclose(sum(server.part for server in fleet.ready), SLICES * 60 / 40)
+        assert math.isclose(sum(server.subset_weight for server in fleet.ready), SLICES * 60 / 40)
         for server in fleet.ready:
             callers[server.id] += 1
-            load[server.id] += server.part
+            load[server.id] += server.subset_weight
     assert max(callers.values()) <= 40 / 2
     assert all(math.isclose(part, SLICES) for part in load.values())
 
@@ -316,7 +318,7 @@
     node.serve(200)
     for n in range(300):
         node.ask(f"b{n}")
-    out = sum(s.inflight for s in node.balancer.fleet.ready)
+    out = sum(s.in_flight for s in node.balancer.fleet.ready)
     assert out < 100
     waiting = [a for _, a in node.log if isinstance(a, SetTimer)]
     assert len(waiting) >= 200
@@ -345,7 +347,7 @@
     node.serve(200)
     for n in range(300):
         node.ask(f"b{n}")
-    assert sum(s.inflight for s in node.balancer.fleet.ready) == 300
+    assert sum(s.in_flight for s in node.balancer.fleet.ready) == 300
 
 
 def fill(node: Node) -> int:
@@ -409,7 +411,7 @@
     node.serve(200, "unsafe")
     n = fill(node)
     assert sends(node.ask("dear", "unsafe"))
-    room = node.balancer.admission.window(2.0, node.now)
+    room = node.balancer.admission.concurrency_limit(2.0, node.now)
     assert n < room <= n + 3
 
 
@@ -453,7 +455,7 @@
     for n in range(40):
         node.ask(f"f{n}")
         node.end(f"f{n}", Outcome.CONNECT_FAILED, 100.0)
-    assert node.balancer.admission.window(4.0, node.now) == START * 4.0
+    assert node.balancer.admission.concurrency_limit(4.0, node.now) == START * 4.0
     assert sends(node.ask("later"))
 
 
@@ -556,8 +558,8 @@
         assert sends(node.ask(id, "unsafe"))
     node.now += 1.0
     node.serve(1)
-    room = node.balancer.admission.window(1.0, node.now + 300.0)
-    node.balancer.admission.window = lambda part, now_ms: 3.0  # type: ignore[method-assign]
+    room = node.balancer.admission.concurrency_limit(1.0, node.now + 300.0)
+    node.balancer.admission.concurrency_limit = lambda part, now_ms: 3.0  # type: ignore[method-assign]
     assert room > 0.0 and not sends(node.ask("held", "unsafe"))
     node.now += 300.0
     assert sends(node.ask("room", "unsafe"))
@@ -626,12 +628,12 @@
     """Kolin big-1: servers that held too many calls tipped one after another, and stayed so."""
     node = Node(servers=4)
     node.serve(100, delay_ms=50.0)
-    assert node.balancer.controller.shed_share(node.now) == 0.0
+    assert node.balancer.controller.shed_fraction(node.now) == 0.0
     for n in range(30):
         node.ask(f"slow{n}", "unsafe")
         if node.sent.get(f"slow{n}"):
             node.end(f"slow{n}", Outcome.SUCCESS, 900.0)
-    assert node.balancer.controller.shed_share(node.now) > 0.3
+    assert node.balancer.controller.shed_fraction(node.now) > 0.3
     cheap = sum(bool(sends(node.ask(f"cheap{n}"))) for n in range(100))
     assert cheap < 70  # the class of least value goes first
     deeper = Node(servers=4, tier=1)
@@ -647,7 +649,7 @@
         node.ask(f"f{n}", "unsafe")
         if node.sent.get(f"f{n}"):
             node.end(f"f{n}", Outcome.REJECTED, 5.0)
-    assert node.balancer.controller.shed_share(node.now) > 0.0
+    assert node.balancer.controller.shed_fraction(node.now) > 0.0
 
 
 def test_a_call_overdue_takes_its_servers_weight_before_it_ends() -> None:
@@ -684,16 +686,19 @@
     """Callers that leave early leave what takes long: delay and answer rate came out low without theirs."""
     node = Node(servers=2)
     node.serve(20)
-    share, answers = node.balancer.usual_delay.share, node.balancer.controller.answers.events
+    share, answers = (
+        node.balancer.typical_delay.objective_ratio,
+        node.balancer.controller.response_rate.events,
+    )
     node.ask("left")
     node.do(RequestAbandoned("left"), 10.0)
     node.end("left", Outcome.SUCCESS, 800.0, request_finished=True)
-    assert node.balancer.usual_delay.share > 1.2 * share
-    assert node.balancer.controller.answers.events > 0.8 * answers + 0.9
+    assert node.balancer.typical_delay.objective_ratio > 1.2 * share
+    assert node.balancer.controller.response_rate.events > 0.8 * answers + 0.9
     node.ask("left late")
     node.do(RequestAbandoned("left late"), 10.0)
     node.end("left late", Outcome.TIMEOUT, 2850.0, request_finished=True)
-    assert node.balancer.fleet.servers[node.sent["left late"][0]].slowness > 2.0
+    assert node.balancer.fleet.servers[node.sent["left late"][0]].relative_latency > 2.0
 
 
 def test_what_was_sent_before_a_server_came_back_to_the_list_is_not_counted_twice() -> None:
@@ -703,11 +708,11 @@
     node.list_all(entries([0]))
     node.ask("after")
     server = node.balancer.fleet.servers[0]
-    assert server.inflight == 1
+    assert server.in_flight == 1
     node.end("before", Outcome.SUCCESS)
-    assert server.inflight == 1 and node.balancer.inflight == 1
+    assert server.in_flight == 1 and node.balancer.in_flight == 1
     node.end("after", Outcome.SUCCESS)
-    assert server.inflight == node.balancer.inflight == 0
+    assert server.in_flight == node.balancer.in_flight == 0
 
 
 def test_a_reported_queue_takes_weight_and_fades() -> None:
@@ -813,8 +818,8 @@
     balancer.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(n) for n in range(4)]), 0.0)
     for n in range(200):
         balancer.handle(RequestReceived(f"{n}", "read", 3000.0), float(n))
-    assert balancer.inflight == 200
-    assert 20 <= balancer.fleet.slices < 40
+    assert balancer.in_flight == 200
+    assert 20 <= balancer.fleet.slice_count < 40
 
 
 def test_no_further_attempt_where_its_answer_can_not_come_any_more() -> None:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -26,7 +26,7 @@
 
 def callers(scene: World) -> int:
     assert scene.node is not None
-    return scene.node.frontend.count()
+    return scene.node.frontend.connection_count()
 
 
 HALVES = {
@@ -360,8 +360,8 @@
             assert (await again.read()).body == b"new"
             await until(lambda: scene.node is not None and not scene.node._attempts)
             balancer = scene.node._balancer
-            assert balancer.inflight == 0
-            assert all(not s.inflight for s in balancer.fleet.servers.values())
+            assert balancer.in_flight == 0
+            assert all(not s.in_flight for s in balancer.fleet.servers.values())
 
     run(test())
 
@@ -384,6 +384,6 @@
             assert len(own._addresses) == len(own._in_service) == len(module.fleet.servers) == 1
             assert not module._calls and not module._waiting and not any(module._queue._queues.values())
             assert len(module.retry_policy._taken._times) + len(module.retry_policy._further._times) <= 2
-            assert own._upstream.count() <= 1 and sum(map(len, own._upstream._idle.values())) <= 1
+            assert own._upstream.connection_count() <= 1 and sum(map(len, own._upstream._idle.values())) <= 1
 
     run(test())
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -40,7 +40,10 @@
         server.name: names["127.0.0.1", int(server.address.rpartition(":")[2])] for server in scene.servers
     }
     now = now_ms()
-    return {name: module._slow_start.warmth(module.fleet.servers[id], now) for name, id in by_name.items()}
+    return {
+        name: module._slow_start.capacity_fraction(module.fleet.servers[id], now)
+        for name, id in by_name.items()
+    }
 
 
 async def told(scene: World, entries: list[dict[str, object]]) -> None:
@@ -90,7 +93,7 @@
 
 
 def placed(starts: IncarnationTracker, told: EndpointList, told_ms: float = TOLD_MS) -> float | None:
-    starts.place(told, told_ms)
+    starts.assign_start_times(told, told_ms)
     [entry] = told.endpoints
     return entry.started_at_ms
 
@@ -123,6 +126,8 @@
     starts = IncarnationTracker()
     for n in range(10):
         entry = {"name": f"s{n}", "address": "127.0.0.1:1", "status": "active", "since_ms": 1000.0}
-        starts.place(read_endpoint_list({"index": n, "snapshot": False, "endpoints": [entry]}), TOLD_MS)
+        starts.assign_start_times(
+            read_endpoint_list({"index": n, "snapshot": False, "endpoints": [entry]}), TOLD_MS
+        )
         starts.forget(server_id(f"s{n}"))
     assert len(starts._left) == 3 and not starts._listed
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -12,7 +12,7 @@
     now = 0.0
     for _ in range(count):
         now += gap_ms
-        controller.answered(delay_ms, 1000.0, now, True)
+        controller.record_response(delay_ms, 1000.0, now, True)
     return now
 
 
@@ -39,12 +39,12 @@
 def test_integral_and_rate_by_hand() -> None:
     """Two answers of 100 ms, aim 1 s, one second apart: tau0 = 0.4 s, e = 0.3 s."""
     controller = RetryController()
-    controller.answered(100.0, 1000.0, 1000.0, True)
+    controller.record_response(100.0, 1000.0, 1000.0, True)
     # nu1 = 1 / 1 s; a fresh copy starts with its integral at nu1, where both are clamped.
     assert controller.tuned_rate == pytest.approx(1.0)
     assert controller.integral == pytest.approx(1.0)
     assert controller.allowed_rate == pytest.approx(1.0)
-    controller.answered(1300.0, 1000.0, 2000.0, True)
+    controller.record_response(1300.0, 1000.0, 2000.0, True)
     # The older sample has faded by exp(-1/5), and two show their error as two of FEW_SAMPLES = 4:
     # e = (0.3 * 0.81873 - 0.9) / 4 = -0.16360. nu1 leaves its band (1 + exp(-1/5) = 1.8187 > 1.5:
     # retuned, the integral scaled along).
@@ -64,20 +64,20 @@
             now += 200.0
             if controller is watched:
                 window(controller, 1.0, now - 10.0)
-            controller.answered(700.0, 1000.0, now, True)
+            controller.record_response(700.0, 1000.0, now, True)
     assert watched.integral == pytest.approx(plain.integral, rel=0.01)
-    assert 0.0 < plain.shed_share(now) < 1.0
+    assert 0.0 < plain.shed_fraction(now) < 1.0
 
 
 def test_what_is_shed_fades_with_its_evidence() -> None:
     """i45f18d: copies shed 80% on samples ten seconds old, and so saw no answers that could tell."""
     controller = RetryController()
     now = steady(controller, 2000.0, 50)
-    shed = controller.shed_share(now)
+    shed = controller.shed_fraction(now)
     assert shed > 0.5
-    assert controller.shed_share(now + 20_000.0) <= 0.2 * shed
-    controller.answered(100.0, 1000.0, now + 20_000.0, True)
-    assert controller.shed_share(now + 20_000.0) < 0.5 * shed
+    assert controller.shed_fraction(now + 20_000.0) <= 0.2 * shed
+    controller.record_response(100.0, 1000.0, now + 20_000.0, True)
+    assert controller.shed_fraction(now + 20_000.0) < 0.5 * shed
 
 
 def test_gains_are_kept_inside_the_retune_band() -> None:
@@ -86,7 +86,7 @@
     tuned = controller.tuned_rate
     for _ in range(20):  # ten per cent faster
         now += 90.0
-        controller.answered(100.0, 1000.0, now, True)
+        controller.record_response(100.0, 1000.0, now, True)
     assert controller.tuned_rate == tuned
 
 
@@ -97,7 +97,7 @@
     assert controller.retry_probability(now) == 0.0
     for _ in range(50):
         now += 100.0
-        controller.answered(100.0, 1000.0, now, True)
+        controller.record_response(100.0, 1000.0, now, True)
     assert controller.retry_probability(now) == 1.0
 
 
@@ -109,7 +109,7 @@
     now = 2000.0
     for _ in range(30):
         now += 50.0
-        controller.answered(600.0, 4000.0, now, True)
+        controller.record_response(600.0, 4000.0, now, True)
     added = ADDED * 4.0
     assert window(controller, 4.0, now) - added > 0.9 * 20 * WINDOW_SHARE * 4.0  # nu1 20 a second, aim 4 s
 
@@ -121,7 +121,7 @@
     for _ in range(600):
         rate = outstanding / delay_s
         now += 1000.0 / rate
-        controller.answered(1000.0 * delay_s, 1000.0, now, True)
+        controller.record_response(1000.0 * delay_s, 1000.0, now, True)
         outstanding = window(controller, 4.0, now)
     assert outstanding > 2.0 * 4.0
 
@@ -133,7 +133,7 @@
         controller, now = RetryController(), 0.0
         for _ in range(200):
             now += 50.0
-            controller.answered(delay_ms, 1000.0, now, True)
-        windows[delay_ms] = window(controller, 10.0, now) - controller.answers.per_s() * WINDOW_SHARE
+            controller.record_response(delay_ms, 1000.0, now, True)
+        windows[delay_ms] = window(controller, 10.0, now) - controller.response_rate.per_s() * WINDOW_SHARE
     added = ADDED * 10.0
     assert windows == pytest.approx({400.0: added, 800.0: added / 2.0, 1600.0: added / 4.0})
--- a/tests/test_event_counts.py
+++ b/tests/test_event_counts.py
@@ -13,13 +13,13 @@
 
 def test_a_line_tells_what_is_new_since_the_last() -> None:
     counts = EventCounters()
-    assert counts.line() == ""
-    counts.note(Event.ATTEMPT, "SUCCESS")
-    counts.note(Event.ATTEMPT, "SUCCESS")
-    counts.note(Event.ANSWERED, "200")
-    assert counts.line() == "answered[200]=1, attempt[SUCCESS]=2"
-    counts.note(Event.ATTEMPT, "SUCCESS")
-    assert counts.line() == "attempt[SUCCESS]=1" and counts.line() == ""
+    assert counts.summary() == ""
+    counts.increment(Event.ATTEMPT, "SUCCESS")
+    counts.increment(Event.ATTEMPT, "SUCCESS")
+    counts.increment(Event.ANSWERED, "200")
+    assert counts.summary() == "answered[200]=1, attempt[SUCCESS]=2"
+    counts.increment(Event.ATTEMPT, "SUCCESS")
+    assert counts.summary() == "attempt[SUCCESS]=1" and counts.summary() == ""
 
 
 def test_a_node_that_ends_tells_what_it_did(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -43,9 +43,9 @@
     node = scene.node
     assert node is not None
     await until(lambda: bool(node._in_service))
-    before = node.frontend.count()
+    before = node.frontend.connection_count()
     caller = socket.create_connection(scene.address, LIMIT_S)
-    await until(lambda: node.frontend.count() == before + 1)
+    await until(lambda: node.frontend.connection_count() == before + 1)
     return caller
 
 
@@ -93,7 +93,7 @@
             module = scene.node._balancer
             caller = await connect(scene)
             caller.sendall(request("left"))
-            await until(lambda: bool(server.seen) and bool(module._waiting) and not module.inflight)
+            await until(lambda: bool(server.seen) and bool(module._waiting) and not module.in_flight)
             sent = len(server.seen)
             leave(caller)
             time.sleep(BUSY_S)
@@ -116,7 +116,7 @@
             assert scene.node is not None
             module = scene.node._balancer
             for known in module.fleet.servers.values():
-                known.inflight_limit = 1.0
+                known.in_flight_limit = 1.0
             first.write(request("first"))
             await until(lambda: len(server.seen) == 1)
             caller.sendall(request("left"))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -123,7 +123,7 @@
 
 def dials(scene: World) -> int:
     assert scene.node is not None
-    return scene.node._upstream.count()
+    return scene.node._upstream.connection_count()
 
 
 def test_a_stale_connection_is_replaced_and_nothing_is_sent_twice(tmp_path: Path) -> None:
@@ -323,7 +323,7 @@
             for n in range(10):
                 await scene.ask(f"later-{n}")
             assert len(half_dead.seen) - before >= 3
-            assert scene.node is not None and scene.node._balancer.inflight == 1  # it still hangs
+            assert scene.node is not None and scene.node._balancer.in_flight == 1  # it still hangs
             half_dead.hang_up()  # and is made good elsewhere, or failed
             await asyncio.gather(*asked)
 
@@ -367,7 +367,7 @@
             server.gate.set()
             assert (await scene.ask("a")).status == 200  # its id is free again
             assert [seen.id for seen in server.seen] == ["a", "a"]  # and nobody retried for it
-            assert scene.node._balancer.inflight == 0
+            assert scene.node._balancer.in_flight == 0
 
     run(test())
 
@@ -384,7 +384,7 @@
             caller.write(request("a"))
             assert scene.node is not None
             module = scene.node._balancer
-            await until(lambda: bool(server.seen) and bool(module._waiting) and not module.inflight)
+            await until(lambda: bool(server.seen) and bool(module._waiting) and not module.in_flight)
             sent = len(server.seen)
             caller.writer.close()
             await until(lambda: not module._calls)
@@ -648,7 +648,7 @@
                 assert (await scene.ask(f"{n}")).status == 200
                 assert (await first.ask(f"first-{n}")).status == 200  # the longest idle go, not the oldest
                 assert scene.node is not None
-                assert scene.node.frontend.count() <= 15  # of 29
+                assert scene.node.frontend.connection_count() <= 15  # of 29
 
     run(test())
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -309,7 +309,7 @@
         attempts.send("a")
         assert await attempts.result(1) is Outcome.SUCCESS
         await until(lambda: server.lost == 1)
-        assert attempts.upstream.count() == 0
+        assert attempts.upstream.connection_count() == 0
         await server.stop()
 
     run(test())
@@ -363,7 +363,9 @@
         attempts.send("b")
         assert await attempts.result(2) is Outcome.SUCCESS
         assert [taken.body for taken in attempts.answers if taken is not None] == [b"for a", b"for b"]
-        await until(lambda: attempts.upstream.count() == 1)  # the first goes with what nobody asked for
+        await until(
+            lambda: attempts.upstream.connection_count() == 1
+        )  # the first goes with what nobody asked for
         await server.stop()
 
     run(test())
@@ -399,7 +401,7 @@
         with caplog.at_level(logging.CRITICAL):
             attempts.send("a")
             assert await attempts.result(1) is result
-        await until(lambda: attempts.upstream.count() == 0)
+        await until(lambda: attempts.upstream.connection_count() == 0)
 
     run(test())
 
@@ -433,9 +435,9 @@
             )
             for _ in range(n % 4):  # at each step of it
                 await asyncio.sleep(0)
-            attempt.break_off(Outcome.CANCELLED)
+            attempt.abort(Outcome.CANCELLED)
         assert attempts.results == [Outcome.CANCELLED] * 20
-        await until(lambda: attempts.upstream.count() == 0 and server.lost == server.connections)
+        await until(lambda: attempts.upstream.connection_count() == 0 and server.lost == server.connections)
         await server.stop()
 
     run(test())
@@ -469,7 +471,7 @@
             for id, cls in (("a", "read"), ("b", "pay"), ("c", "pay"), ("d", "read"), ("e", "save")):
                 assert (await scene.ask(id, cls)).status == 200
             assert [seen.connection for seen in server.seen] == [1, 2, 3, 3, 3]
-            assert scene.node is not None and scene.node._upstream.count() == 1
+            assert scene.node is not None and scene.node._upstream.connection_count() == 1
             await until(lambda: server.lost == 2)
 
     run(test())
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -110,7 +110,7 @@
             await asyncio.sleep(0.1)
             server.gate.set()
             assert scene.node is not None
-            await until(lambda: scene.node is not None and scene.node.frontend.count() == 0)
+            await until(lambda: scene.node is not None and scene.node.frontend.connection_count() == 0)
             assert not scene.node._live and not scene.node._open_ids
             assert len(server.seen) <= 2
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -189,13 +189,13 @@
         return True
 
     with monkeypatch.context() as patch:
-        patch.setattr(RetryPolicy, "repeatable", always)
+        patch.setattr(RetryPolicy, "may_be_repeated", always)
         assert breaks().startswith("rule 2")
     with monkeypatch.context() as patch:
-        patch.setattr(RetryPolicy, "in_budget", always)
+        patch.setattr(RetryPolicy, "within_retry_budget", always)
         assert breaks(**BUDGET).startswith("rule 5")
     with monkeypatch.context() as patch:
-        patch.setattr(Server, "group", lambda *_: None)
+        patch.setattr(Server, "deduplication_group", lambda *_: None)
         assert breaks().startswith("rule 2")
     with monkeypatch.context() as patch:
         patch.setattr(Balancer, "_end", always)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -91,7 +91,7 @@
             assert scene.node is not None
             host, _, port = other.address.rpartition(":")
             async with asyncio.timeout(4.0):
-                scene.node._discovery.move((host, int(port)))
+                scene.node._discovery.change_address((host, int(port)))
                 await until(lambda: len(other.seen) == 3)
             assert (await scene.ask("b")).status == 200
             assert [seen.id for seen in new.seen] == ["b"]
@@ -148,7 +148,7 @@
             await until(lambda: scene.registry.watches() == 1)
             assert scene.node is not None
             host, _, port = other.address.rpartition(":")
-            scene.node._discovery.move((host, int(port)))
+            scene.node._discovery.change_address((host, int(port)))
             scene.registry.tell(ghost.entry(), snapshot=True)
             await until(lambda: len(other.seen) == 2)
             for n in range(4):
@@ -182,7 +182,7 @@
                     on_news(news, why)
 
                 scene.node._discovery._news = note
-                scene.node._discovery.move(hung.getsockname())
+                scene.node._discovery.change_address(hung.getsockname())
                 await until(lambda: sum("can't connect" in why for why in failed) >= 2)
                 assert (await scene.ask("a")).status == 200
 
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -26,13 +26,13 @@
     of: SendGuard, attempts: AttemptHistory, cls: str = "safe", **changes: float
 ) -> SendRefusal | None:
     latest_ms = changes.get("latest_ms", math.inf)
-    return of.refusal("a", cls, attempts, int(changes.get("server", SERVER)), ADDRESS, latest_ms)
+    return of.check("a", cls, attempts, int(changes.get("server", SERVER)), ADDRESS, latest_ms)
 
 
 def after(result: Outcome) -> AttemptHistory:
     attempts = AttemptHistory()
-    attempts.write()
-    attempts.end(guard().may_have_run(result))
+    attempts.record_write()
+    attempts.record_end(guard().may_have_run(result))
     return attempts
 
 
@@ -41,7 +41,7 @@
     assert refusal(of, AttemptHistory()) is None
     assert refusal(of, AttemptHistory(), server=8) is SendRefusal.NOT_IN_SERVICE
     assert refusal(of, AttemptHistory(), latest_ms=now_ms() - 1.0) is SendRefusal.WINDOW_OVER
-    assert of.refusal("a", "safe", AttemptHistory(), SERVER, ("127.0.0.1", 1), math.inf) is SendRefusal.MOVED
+    assert of.check("a", "safe", AttemptHistory(), SERVER, ("127.0.0.1", 1), math.inf) is SendRefusal.MOVED
     assert not of.broken
 
 
@@ -56,12 +56,12 @@
 
 def test_two_attempts_at_once_and_too_many_are_counted() -> None:
     of, attempts = guard(), AttemptHistory()
-    attempts.write()
+    attempts.record_write()
     assert refusal(of, attempts) is SendRefusal.OVERLAP
     for _ in range(settings().max_attempts):
-        attempts.end(ran=True)
-        attempts.write()
-    attempts.end(ran=True)
+        attempts.record_end(ran=True)
+        attempts.record_write()
+    attempts.record_end(ran=True)
     assert refusal(of, attempts) is SendRefusal.TOO_MANY
     assert of.broken.total() == 2
 
@@ -71,7 +71,7 @@
 ) -> None:
     """A module that sends unsafe requests again: the server sees one, and the log says so."""
     caplog.set_level(logging.INFO)
-    monkeypatch.setattr(RetryPolicy, "repeat_ends_ms", lambda self, call: math.inf)
+    monkeypatch.setattr(RetryPolicy, "repeat_deadline_at_ms", lambda self, call: math.inf)
 
     async def test() -> None:
         server = Server(usual=RESET)
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -64,7 +64,7 @@
 
 
 def ahead_before_the_round(self: Level) -> RotationEntry:
-    return max((group.leader() for group in self.groups.values()), key=lambda place: place.credit)
+    return max((group.leader() for group in self.groups.values()), key=lambda place: place.current_weight)
 
 
 def all_hold_alike(self: Rotation, server: Server, load: float) -> None:
@@ -136,7 +136,7 @@
 def looks(monkeypatch: pytest.MonkeyPatch, case: Case) -> int:
     """How often servers are looked at in a run of the bench."""
     count = 0
-    speed = Server.speed
+    speed = Server.speed_factor
 
     def counted(self: Server, now: float, usual_share: float) -> float:
         nonlocal count
@@ -145,7 +145,7 @@
 
     with monkeypatch.context() as patch:
         run = Run(Program(), case)
-        patch.setattr(Server, "speed", counted)
+        patch.setattr(Server, "speed_factor", counted)
         run.cost()
     return count
 
@@ -162,7 +162,7 @@
 
 def test_a_list_with_nothing_new_looks_at_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
     node = Node(servers=200, replicas=8, replica_index=3)
-    monkeypatch.setattr(Server, "speed", lambda *_: pytest.fail("a server was looked at"))
+    monkeypatch.setattr(Server, "speed_factor", lambda *_: pytest.fail("a server was looked at"))
     node.list_all(entries(range(200)))
 
 
@@ -174,7 +174,7 @@
         looked.append(server.id)
         return 1.0
 
-    monkeypatch.setattr(Server, "speed", speed)
+    monkeypatch.setattr(Server, "speed_factor", speed)
     node.change(Endpoint(7, "z", "k", 1, weight=2.0))
     assert set(looked) == {7}
 
@@ -194,9 +194,14 @@
         node = balancer.Balancer(settings, 1)
         node.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(1, started_at_ms=0.0)]), 0.0)
         server, start = node.fleet.servers[1], node._slow_start
-        server.budget = bucket
+        server.cold_budget = bucket
         for now in range(0, 4001, step):
-            start.budget(server, start.warmth(server, float(now)), node.fleet.parts, float(now))
+            start.refill_cold_budget(
+                server,
+                start.capacity_fraction(server, float(now)),
+                node.fleet.total_subset_weight,
+                float(now),
+            )
         saved.append(bucket.tokens)
     assert saved[1] == pytest.approx(saved[0], rel=0.05)
 
@@ -240,7 +245,7 @@
     node.serve(10, gap_ms=2_000.0)
     node.change(Endpoint(9, "z", "k", 1, started_at_ms=node.now))
     cold = node.balancer.fleet.servers[9]
-    cold.budget.tokens = 0.0
+    cold.cold_budget.tokens = 0.0
     node.balancer._selector.update(cold, node.now)
     began = node.now
     while 9 not in node.serve(1, gap_ms=0.0, delay_ms=10.0):
--- a/tests/test_slow_lists.py
+++ b/tests/test_slow_lists.py
@@ -97,7 +97,7 @@
             source.whole = [server.entry(name=f"s{n}" + "x" * 200) for n in range(50)]
             monkeypatch.setattr("tests.test_slow_lists.PIECES", 1000)
             host, _, port = source.address.rpartition(":")
-            scene.node._discovery.move((host, int(port)))
+            scene.node._discovery.change_address((host, int(port)))
             await until(lambda: source.connections == 2)
             assert (await scene.ask("a")).status == 200  # by the list as it was
         await source.stop()
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -168,7 +168,7 @@
                     source.fall_to(left.pop(0) if left else None)
                 on_news(news, why)
 
-            held.move(("127.0.0.1", source.port))
+            held.change_address(("127.0.0.1", source.port))
             await until(lambda: source.calls == 2)  # the whole list, and a watch
             held._news = note
             source._news.append(new.entry())  # discovery has it from here on
--- a/workspond/config.py
+++ b/workspond/config.py
@@ -32,8 +32,8 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    known: EndpointList
+    max_descriptors: int
+    cached_endpoints: EndpointList
     settings: Settings
 
 
@@ -62,8 +62,8 @@
             listen=parse_address(get(obj, "listen", str)),
             discovery=parse_address(get(obj, "discovery", str)),
             seed=hex_digits(get(obj, "seed", str)),
-            sockets=optional(limits, "sockets", int, 1024),
-            known=read_endpoint_list(
+            max_descriptors=optional(limits, "sockets", int, 1024),
+            cached_endpoints=read_endpoint_list(
                 optional(obj, "known", dict, {"index": 0, "snapshot": True, "endpoints": []})
             ),
             settings=read_settings(get(obj, "settings", dict)),
--- a/workspond/discovery/incarnations.py
+++ b/workspond/discovery/incarnations.py
@@ -31,7 +31,7 @@
         self._listed: dict[int, Incarnation] = {}
         self._left: dict[int, Incarnation] = {}  # in the order in which they left
 
-    def place(self, listing: EndpointList, told_ms: float) -> None:
+    def assign_start_times(self, listing: EndpointList, told_ms: float) -> None:
         """Set `started_ms` of a listing's entries, which were told at `told_ms`.
 
         A start that is new cannot lie after the moment it was told. It is taken to lie after the answer
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -66,7 +66,7 @@
         if not self._link.busy and not self._closed:
             self._ask()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Ask at this address from now on; where it is another one, for the whole list first.
 
         Versions there need not be those of the old address, whose call counts as overtaken.
--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -34,10 +34,10 @@
 class ResponseReceiver(Protocol):
     """Whoever waits for a request's answer, as far as the node knows it."""
 
-    def answer(self, reply: Response) -> None:
+    def send_response(self, reply: Response) -> None:
         """Give it the request's one answer."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has left."""
 
 
@@ -185,19 +185,21 @@
             self._parser.stop()
             self._queue.append(ConnectionRejection(Response(408, b"the request took too long to come")))
             self._fail_owed()
-        elif not self.unread():  # else a request crosses the limit: closed over it, it would be reset
+        elif (
+            not self.has_unread_data()
+        ):  # else a request crosses the limit: closed over it, it would be reset
             self._close(f"it waited too long for {self.stage.value if self.stage else 'nothing'}")
 
     def _close(self, why: str) -> None:
         """Close it, with nothing on it."""
-        self._owner.counts.note(Event.CLOSED, why)
+        self._owner.counts.increment(Event.CLOSED, why)
         self._closing = True
         self._transport.close()
         self._settle()
 
     def abort(self, why: str) -> None:
         """End it at once, whatever is on it."""
-        self._owner.counts.note(Event.CLOSED, why)
+        self._owner.counts.increment(Event.CLOSED, why)
         self._ended = True
         self._owner.closed(self)  # now: its socket is as good as given back
         self._transport.abort()
@@ -215,7 +217,7 @@
 
     def _reject(self, rejection: ConnectionRejection) -> None:
         """Tell the error that ends the connection; all that came before it has its answer."""
-        self._owner.counts.note(Event.CLOSED, f"rejected with {rejection.reply.status}")
+        self._owner.counts.increment(Event.CLOSED, f"rejected with {rejection.reply.status}")
         self._closing = self._ended = True
         self._drop_queued()
         self._transport.write(render(rejection.reply, close=True))
@@ -265,12 +267,12 @@
         if self._busy:  # it may have been answered at once
             self._taken = taken
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether it has sent something, or its end, that the loop has yet to read and will."""
         reads = not (self._read_paused or self._ended or self._transport.is_closing())
         return reads and self._polled(select.POLLIN)
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has closed, or ended its sending, by the socket itself; no more is done for it then.
 
         Timers, and what else came in the same turn of the loop, may run before the end is read; after a turn
@@ -287,7 +289,7 @@
         self._settle()
         return True
 
-    def answer(self, reply: Response) -> None:
+    def send_response(self, reply: Response) -> None:
         """The node's answer to the request it has."""
         self._taken, self._busy = None, False
         if not self._transport.is_closing():
--- a/workspond/downstream/frontend.py
+++ b/workspond/downstream/frontend.py
@@ -49,7 +49,7 @@
         self._sweep()
         return self._listener.address
 
-    def count(self) -> int:
+    def connection_count(self) -> int:
         """Callers' connections that are open, and those that are about to be."""
         opening = self._listener.opening if self._listener is not None else 0
         return len(self.connections) + opening
@@ -75,7 +75,9 @@
             connection.drain()
         elif len(self.connections) > self._most:
             candidates = itertools.islice(self.connections.expendable(), MOST_POLLED)
-            others = (other for other in candidates if other is not connection and not other.unread())
+            others = (
+                other for other in candidates if other is not connection and not other.has_unread_data()
+            )
             next(others, connection).abort("too many connections")
 
     def moved(self, connection: ClientConnection, stage: ConnectionState) -> None:
@@ -85,7 +87,7 @@
     def closed(self, connection: ClientConnection) -> None:
         """Count a caller out."""
         self.connections.remove(connection)
-        if not self.count():
+        if not self.connection_count():
             self._empty.set()
 
     def _sweep(self) -> None:
@@ -108,11 +110,11 @@
         self._closing = True
         for connection in self.connections.all():
             connection.drain()
-        await self.empty()
+        await self.wait_until_empty()
 
-    async def empty(self) -> None:
+    async def wait_until_empty(self) -> None:
         """Wait until no caller is left."""
-        while self.count():
+        while self.connection_count():
             self._empty.clear()
             await self._empty.wait()
 
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -130,7 +130,7 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self._config, self._loop = config, loop
         settings = config.settings
-        self._descriptors = usable_descriptors(config.sockets)
+        self._descriptors = usable_descriptors(config.max_descriptors)
         self._balancer = Balancer(settings, config.seed)
         self._events: deque[PolicyEvent] = deque()
         self._handling = False
@@ -161,7 +161,7 @@
 
     def start(self) -> None:
         """Let the module begin, and ask for the list: the node is ready once that call has ended."""
-        self.counts.report_regularly(self._loop)
+        self.counts.start_periodic_report(self._loop)
         self._handle(NodeStarted())
         if not self._config.settings.requires_subscription:
             self._discovery.subscribe()
@@ -170,13 +170,16 @@
         """Go on under a new configuration: discovery may be elsewhere; all that is held stays."""
         if (
             dataclasses.replace(
-                config, discovery=self._config.discovery, known=self._config.known, seed=self._config.seed
+                config,
+                discovery=self._config.discovery,
+                cached_endpoints=self._config.cached_endpoints,
+                seed=self._config.seed,
             )
             != self._config
         ):
             log.warning("only a new address of discovery is taken without a restart")
         self._config = dataclasses.replace(self._config, discovery=config.discovery)
-        self._discovery.move(config.discovery)
+        self._discovery.change_address(config.discovery)
 
     async def stop(self, accept_s: float = ACCEPT_S) -> None:
         """Serve on for a while, then finish all that is held and close.
@@ -196,7 +199,7 @@
         # node for dead and leaves its open ones too, and where it is the only node has nowhere to go.
         try:
             async with asyncio.timeout((self._stop_ms - LAST_MS - now_ms()) / 1000.0):
-                await self.frontend.empty()
+                await self.frontend.wait_until_empty()
         except TimeoutError:
             log.info("closing connections %.0f ms after the signal", now_ms() - asked_ms)
         await self.frontend.close_listener()
@@ -206,10 +209,15 @@
         except TimeoutError:
             self.frontend.abort()  # all is answered by now; what is left does not read
         self._discovery.close()
-        self.counts.report()
+        self.counts.log_summary()
 
     def _room(self) -> int:
-        return self._descriptors - SPARE_SOCKETS - self.frontend.count() - self._upstream.count()
+        return (
+            self._descriptors
+            - SPARE_SOCKETS
+            - self.frontend.connection_count()
+            - self._upstream.connection_count()
+        )
 
     # Requests
 
@@ -239,7 +247,7 @@
     def abandon(self, live: ActiveRequest, why: str = "left by its caller") -> None:
         """Nobody waits any more."""
         if self._drop(live):
-            self.counts.note(Event.ABANDONED, why)
+            self.counts.increment(Event.ABANDONED, why)
             self._trace(live, why)
             self._handle(RequestAbandoned(live.id))
 
@@ -255,15 +263,15 @@
     def _finish(self, id: str, reply: Response) -> None:
         live = self._live.get(id)
         if live is not None and self._drop(live):
-            self.counts.note(Event.ANSWERED, str(reply.status))
+            self.counts.increment(Event.ANSWERED, str(reply.status))
             if reply.status != 200:
                 self._trace(live, f"answered {reply.status}")
-            live.requester.answer(reply)
+            live.requester.send_response(reply)
 
     def _trace(self, live: ActiveRequest, end: str) -> None:
         """Log a request that ended badly, from its arrival on, with every attempt."""
         now, message = now_ms(), live.message
-        if self._traces.take(TRACES_PER_S / 1000.0, TRACES_PER_S, now):
+        if self._traces.try_take(TRACES_PER_S / 1000.0, TRACES_PER_S, now):
             log.info(
                 "request %s %s %s after %.1f of %.1f ms: %s%s",
                 message.request_id,
@@ -282,9 +290,9 @@
             live.deadline_timer = self._loop.call_later(left_ms / 1000.0 + 0.001, self._overdue, live)
         elif self._drop(live):
             log.warning("request %s was not ended by its deadline", live.message.request_id)
-            self.counts.note(Event.ANSWERED, "504")
+            self.counts.increment(Event.ANSWERED, "504")
             self._trace(live, "answered 504")
-            live.requester.answer(Response(504, b"no answer in time"))
+            live.requester.send_response(Response(504, b"no answer in time"))
             self._handle(RequestAbandoned(live.id))
 
     # The module
@@ -320,7 +328,7 @@
             case CancelAttempt():
                 attempt = self._attempts.get((action.request_id, action.attempt_number))
                 if attempt is not None:
-                    attempt.break_off(Outcome.CANCELLED)
+                    attempt.abort(Outcome.CANCELLED)
             case CloseIdleConnections():
                 self._upstream.close_idle(action.server_id)
             case Subscribe():
@@ -353,14 +361,14 @@
         def render() -> bytes:
             nonlocal written
             written = True
-            live.sent.write()
+            live.sent.record_write()
             return request_bytes(live.message, address, max(0.0, due_ms - now_ms()))
 
         def ended(result: Outcome, answer: ServerResponse | None) -> None:
             self._attempts.pop((action.request_id, number), None)
             if written:
-                live.sent.end(self._guard.may_have_run(result))
-            self.counts.note(Event.ATTEMPT, result.name)
+                live.sent.record_end(self._guard.may_have_run(result))
+            self.counts.increment(Event.ATTEMPT, result.name)
             took_ms = now_ms() - sent_at_ms
             began_ms = sent_at_ms - live.received_at_ms
             live.outcomes.append(
@@ -377,7 +385,7 @@
         attempt = self._upstream.send(
             server, address, render, timeout_ms, may_send, ended, action.new_connection
         )
-        if not attempt.over:
+        if not attempt.is_over:
             self._attempts[action.request_id, number] = attempt
 
     def _refusal(
@@ -386,15 +394,15 @@
         """Why an attempt must not be written now; asked when it is decided, and when a dial has ended."""
         if live is None or live.id not in self._live:
             return SendRefusal.ANSWERED
-        if live.requester.gone():
+        if live.requester.has_disconnected():
             self.abandon(live)
             return SendRefusal.CALLER_GONE
         message = live.message
-        reason = self._guard.refusal(
+        reason = self._guard.check(
             message.request_id, message.class_name, live.sent, server, address, latest_ms
         )
         if reason is not None:
-            self.counts.note(Event.HELD_BACK, reason.value)
+            self.counts.increment(Event.HELD_BACK, reason.value)
             live.outcomes.append(f"held back: {reason.value}")
         return reason
 
@@ -405,11 +413,11 @@
         if listing is None and first:
             # What the agent holds counts as told from the process's first moment, so the list that this node
             # last had, perhaps long ago, is for when there is no other.
-            self._take_listing(self._config.known, UpdateKind.CACHED)
+            self._take_listing(self._config.cached_endpoints, UpdateKind.CACHED)
         if listing is not None:
             self._take_listing(listing, UpdateKind.COMPLETE if listing.complete else UpdateKind.INCREMENTAL)
             return
-        self.counts.note(Event.DISCOVERY, why.partition(":")[0])
+        self.counts.increment(Event.DISCOVERY, why.partition(":")[0])
         log.info("discovery: %s", why)
         if self._config.settings.requires_subscription:
             self._handle(EndpointUpdate(UpdateKind.FAILED))
@@ -417,7 +425,7 @@
             self._loop.call_later(PUSHED_RETRY_S, self._discovery.subscribe)
 
     def _take_listing(self, listing: EndpointList, kind: UpdateKind) -> None:
-        self._starts.place(listing, now_ms())
+        self._starts.assign_start_times(listing, now_ms())
         gone = []
         if kind is not UpdateKind.INCREMENTAL:
             gone = list(self._addresses.keys() - listing.addresses.keys() - listing.unchanged_ids)
--- a/workspond/observability/counters.py
+++ b/workspond/observability/counters.py
@@ -33,11 +33,11 @@
         self.total: Counter[tuple[Event, str]] = Counter()
         self._reported: Counter[tuple[Event, str]] = Counter()
 
-    def note(self, event: Event, reason: str) -> None:
+    def increment(self, event: Event, reason: str) -> None:
         """Count one event."""
         self.total[event, reason] += 1
 
-    def line(self) -> str:
+    def summary(self) -> str:
         """What was counted since the last line; empty if nothing was."""
         new = self.total - self._reported
         self._reported = self.total.copy()
@@ -46,19 +46,19 @@
         )
         return ", ".join(parts)
 
-    def report(self) -> None:
+    def log_summary(self) -> None:
         """Write the line."""
-        text = self.line()
+        text = self.summary()
         if text:
             log.info("counts: %s", text)
 
-    def report_regularly(self, loop: asyncio.AbstractEventLoop) -> None:
+    def start_periodic_report(self, loop: asyncio.AbstractEventLoop) -> None:
         """Write it from now on, every so often."""
         loop.call_later(REPORT_EVERY_S, self._report_again, loop)
 
     def _report_again(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.report()
-        self.report_regularly(loop)
+        self.log_summary()
+        self.start_periodic_report(loop)
 
 
 def _name(item: tuple[tuple[Event, str], int]) -> tuple[str, str]:
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -24,15 +24,15 @@
 
 def window(controller: RetryController, part: float, now_ms: float) -> float:
     """How many calls may be outstanding from a copy whose part of the fleet is so many servers."""
-    answers = controller.answers
+    answers = controller.response_rate
     if answers.span_s < 1.0:  # sulcast-later overload: unbounded at first, a tier choked at 2 s
         return START * part + answers.events
-    answers.count(0.0, now_ms)
+    answers.record(0.0, now_ms)
     # i35d8eb: with nothing added it spirals down where the normal delay is over its share of the aim.
     # Else what is added alone keeps the delay over the target: rota, two calls to boxes that serve one.
     added = ADDED * part / max(1.0, controller.delay_over_target())
-    usual = added + answers.per_s() * WINDOW_SHARE * controller.mean_aim_s()
-    return usual + max(0.0, FEW - usual) * controller.open_share()
+    usual = added + answers.per_s() * WINDOW_SHARE * controller.mean_objective_s()
+    return usual + max(0.0, FEW - usual) * controller.retry_fraction()
 
 
 class AdmissionController:
@@ -53,37 +53,43 @@
             request_class.name: request_class.objective_ms for request_class in settings.classes
         }
 
-    def window(self, part: float, now_ms: float) -> float:
+    def concurrency_limit(self, part: float, now_ms: float) -> float:
         """How many calls may be outstanding from a copy whose part of the fleet is so many servers."""
         return window(self._controller, part, now_ms)
 
-    def sheds(self, call: Call, now_ms: float) -> bool:
+    def should_shed(self, call: Call, now_ms: float) -> bool:
         """Whether the loop has this call shed: it takes its share from those of least value first."""
-        shed = 0.0 if self._settings.tier else self._controller.shed_share(now_ms)
+        shed = 0.0 if self._settings.tier else self._controller.shed_fraction(now_ms)
         if not shed:
             return False
-        values = {name: self.value(name, False) for name in self._objectives_ms}
-        own = self.value(call.request_class.name, call.over_quota)
-        less = sum(self._record.mix[name] for name, value in values.items() if value < own)
-        return self._rng.random() * self._record.mix[call.request_class.name] < shed - less
+        values = {name: self.priority(name, False) for name in self._objectives_ms}
+        own = self.priority(call.request_class.name, call.over_quota)
+        less = sum(self._record.request_fraction[name] for name, value in values.items() if value < own)
+        return self._rng.random() * self._record.request_fraction[call.request_class.name] < shed - less
 
-    def crowded(self, call: Call, inflight: int, lost_calls: Callable[[float], int], now_ms: float) -> bool:
+    def at_concurrency_limit(
+        self, call: Call, inflight: int, lost_calls: Callable[[float], int], now_ms: float
+    ) -> bool:
         """Whether the clients' tier has as many calls outstanding as the delay target bears."""
-        room = self.window(self._fleet.slice, now_ms)
+        room = self.concurrency_limit(self._fleet.slice_size, now_ms)
         if self._settings.tier or inflight < (1.0 - RESERVE) * room:
             return False
         # sulcast-porto-alegre silent+leave+brisk 12: of a window of 8 two stood on connections that had died.
         # It lets in a few too many where a class has far longer calls than the rest of them.
         working = inflight - lost_calls(now_ms)
-        best = max(self.value(name, False) for name in self._objectives_ms)
+        best = max(self.priority(name, False) for name in self._objectives_ms)
         full = working >= (1.0 - RESERVE) * room
-        return full and (working >= room or self.value(call.request_class.name, call.over_quota) < best)
+        return full and (working >= room or self.priority(call.request_class.name, call.over_quota) < best)
 
-    def value(self, name: str, over_quota: bool) -> float:
+    def priority(self, name: str, over_quota: bool) -> float:
         """What an answer to a class is worth to the operators, for the time that it takes."""
         record, settings = self._record, self._settings
-        worth = record.worth[name] / record.mean_worth()
-        if record.in_time[name] <= record.worst():  # strict order of worth would starve it
-            worth += settings.worst_class_weight / record.mix[name]
+        worth = record.priority_weight[name] / record.mean_priority_weight()
+        if (
+            record.in_time_fraction[name] <= record.worst_in_time_fraction()
+        ):  # strict order of worth would starve it
+            worth += settings.worst_class_weight / record.request_fraction[name]
         worth *= settings.over_quota_fraction if over_quota else 1.0  # a flooding tenant waits behind
-        return worth / max(1.0, record.delay_ms[name] or self._usual.share * self._objectives_ms[name])
+        return worth / max(
+            1.0, record.mean_delay_ms[name] or self._usual.objective_ratio * self._objectives_ms[name]
+        )
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -59,16 +59,16 @@
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self._rng = random.Random(salt)
         self.controller = RetryController()
-        self.inflight = 0  # attempts out
-        self.usual_delay = TypicalDelay()
-        self.record = ClassStatistics(settings.classes, PEER_SAMPLES)
+        self.in_flight = 0  # attempts out
+        self.typical_delay = TypicalDelay()
+        self.class_statistics = ClassStatistics(settings.classes, PEER_SAMPLES)
         self.fleet = Fleet(settings, self._rng)
         self.admission = AdmissionController(
-            settings, self.controller, self.record, self.fleet, self.usual_delay, self._rng
+            settings, self.controller, self.class_statistics, self.fleet, self.typical_delay, self._rng
         )
         self.retry_policy = RetryPolicy(settings, self._rng)
         self._slow_start = SlowStart(settings, self.controller)
-        self._selector = ServerSelector(self.fleet, self._slow_start, self.usual_delay, self._rng)
+        self._selector = ServerSelector(self.fleet, self._slow_start, self.typical_delay, self._rng)
         self._ejection = OutlierEjection(self._rng)
         self._queue = RequestQueue()
         self._idle_limit = IdleTimeout(settings.keepalive_ms)
@@ -104,17 +104,19 @@
 
     def _on_request(self, event: RequestReceived, now_ms: float) -> None:
         call = self._calls[event.request_id] = Call(event, self.classes[event.class_name], now_ms)
-        self.record.asked(event.class_name)
+        self.class_statistics.record_request(event.class_name)
         self.retry_policy.count_request(now_ms)
         if event.tenant in self._quotas:
             per_ms, bucket = self._quotas[event.tenant]
-            call.over_quota = not bucket.take(per_ms, max(1.0, QUOTA_MS * per_ms), now_ms)
-        if self.admission.sheds(call, now_ms):
+            call.over_quota = not bucket.try_take(per_ms, max(1.0, QUOTA_MS * per_ms), now_ms)
+        if self.admission.should_shed(call, now_ms):
             return self._end(call)
         self._attempt(call, now_ms)
 
     def _attempt(self, call: Call, now_ms: float) -> None:
-        crowded = self.admission.crowded(call, self.inflight, self._selector.lost_calls, now_ms)
+        crowded = self.admission.at_concurrency_limit(
+            call, self.in_flight, self._selector.count_stalled_calls, now_ms
+        )
         server = None if crowded else self._selector.pick(call, now_ms)
         if crowded or (server is None and call.first_possible_run_at_ms is None and self.fleet.ready_count):
             self._enqueue(call, now_ms)
@@ -124,7 +126,7 @@
     def _enqueue(self, call: Call, now_ms: float) -> None:
         """Keep a call back while an answer within its aim is still possible."""
         slack_ms = 2.0 * self.settings.tick_ms
-        wait_ms = self._queue.latest_ms(call, self.settings.tier) - now_ms
+        wait_ms = self._queue.queue_deadline_at_ms(call, self.settings.tier) - now_ms
         if wait_ms <= slack_ms:
             return self._end(call)
         self._queue.add(call)
@@ -132,15 +134,17 @@
 
     def _release(self, now_ms: float) -> None:
         """Send queued calls as room comes up, those of most worth first."""
-        for queue in self._queue.by_value(self.admission.value):
+        for queue in self._queue.by_priority(self.admission.priority):
             while queue:
                 call = queue[0]
-                if call.queued and call.id in self._calls:
-                    crowded = self.admission.crowded(call, self.inflight, self._selector.lost_calls, now_ms)
+                if call.is_queued and call.id in self._calls:
+                    crowded = self.admission.at_concurrency_limit(
+                        call, self.in_flight, self._selector.count_stalled_calls, now_ms
+                    )
                     server = None if crowded else self._selector.pick(call, now_ms)
                     if server is None:
                         break
-                    call.queued, call.timer_token = False, 0
+                    call.is_queued, call.timer_token = False, 0
                     if not self._send(call, server, now_ms):
                         self._wait_or_end(call, now_ms)
                 queue.popleft()
@@ -155,19 +159,23 @@
         if call.attempts:
             self.retry_policy.count_retry(now_ms)
         call.attempts += 1
-        call.out, call.last_server, call.sent_at_ms = True, server, now_ms
-        self.inflight += 1
-        if self.inflight > GROW_FROM * self.fleet.ready_count:
+        call.attempt_in_flight, call.last_server, call.sent_at_ms = True, server, now_ms
+        self.in_flight += 1
+        if self.in_flight > GROW_FROM * self.fleet.ready_count:
             self._selector.apply(self.fleet.grow(now_ms), now_ms)
-        call.idle_ms = 0.0 if server.calls else now_ms - server.used_ms
-        if self._idle_limit.exceeded(call.idle_ms):  # Rosario fresh-big: sent on a dropped one, it is lost
+        call.connection_idle_ms = 0.0 if server.calls_in_flight else now_ms - server.last_used_at_ms
+        if self._idle_limit.is_exceeded(
+            call.connection_idle_ms
+        ):  # Rosario fresh-big: sent on a dropped one, it is lost
             self._actions.append(CloseIdleConnections(server.id))
-            call.idle_ms = 0.0
-        server.calls[call.id] = now_ms, request_class.objective_ms
+            call.connection_idle_ms = 0.0
+        server.calls_in_flight[call.id] = now_ms, request_class.objective_ms
         self._selector.update(server, now_ms)
-        measured = self.usual_delay.samples >= SAMPLES
-        timeout_ms = self.retry_policy.attempt_timeout_ms(call, left_ms, self.usual_delay.share, measured)
-        send_within_ms = self.retry_policy.repeat_ends_ms(call) - now_ms
+        measured = self.typical_delay.samples >= SAMPLES
+        timeout_ms = self.retry_policy.attempt_timeout_ms(
+            call, left_ms, self.typical_delay.objective_ratio, measured
+        )
+        send_within_ms = self.retry_policy.repeat_deadline_at_ms(call) - now_ms
         fresh = (
             request_class.idempotency is Idempotency.NON_IDEMPOTENT
         )  # on a new connection: a loss could not be made good
@@ -177,29 +185,36 @@
     def _may_send(self, call: Call, server: Server, now_ms: float) -> bool:
         """Whether the rules let the call go to the server; takes from a cold one's budget."""
         request_class, policy = call.request_class, self.retry_policy
-        if call.id not in self._calls or call.out or call.deadline_at_ms - now_ms <= self.settings.tick_ms:
+        if (
+            call.id not in self._calls
+            or call.attempt_in_flight
+            or call.deadline_at_ms - now_ms <= self.settings.tick_ms
+        ):
             return False  # rule 1
-        if call.attempts >= self.settings.max_attempts or not policy.repeatable(call, now_ms):
+        if call.attempts >= self.settings.max_attempts or not policy.may_be_repeated(call, now_ms):
             return False  # rule 2
         if (
             call.first_possible_run_at_ms is not None
-            and server.group(request_class.deduplication_scope) != call.deduplication_group
+            and server.deduplication_group(request_class.deduplication_scope) != call.deduplication_group
         ):
             return False  # rule 2
-        if not server.in_service or not self.fleet.holds(server):
+        if not server.in_service or not self.fleet.is_current(server):
             return False  # rule 3
-        if call.attempts and not policy.in_budget(now_ms):
+        if call.attempts and not policy.within_retry_budget(now_ms):
             return False  # rule 5
-        warmth = self._slow_start.warmth(server, now_ms)
+        warmth = self._slow_start.capacity_fraction(server, now_ms)
         if warmth < 1.0:
-            if self._slow_start.budget(server, warmth, self.fleet.parts, now_ms) < 1.0:
+            if (
+                self._slow_start.refill_cold_budget(server, warmth, self.fleet.total_subset_weight, now_ms)
+                < 1.0
+            ):
                 return False  # rule 4
-            server.budget.tokens -= 1.0
+            server.cold_budget.tokens -= 1.0
         return True
 
     def _wait_or_end(self, call: Call, now_ms: float, waited_ms: float = 0.0) -> None:
         """Wait for the next attempt, where one can still be made in time."""
-        wait_ms = self.retry_policy.next_wait_ms(call, now_ms, self.usual_delay.share, waited_ms)
+        wait_ms = self.retry_policy.next_wait_ms(call, now_ms, self.typical_delay.objective_ratio, waited_ms)
         if wait_ms is None:
             self._end(call)
         else:
@@ -208,7 +223,7 @@
     def _end(self, call: Call) -> None:
         """The one way to end a request unserved: refused where a repeat is harmless, else failed."""
         if self._calls.pop(call.id, None):
-            self.record.ended(call.request_class.name, False)
+            self.class_statistics.record_end(call.request_class.name, False)
             everywhere = (
                 call.request_class.idempotency is Idempotency.KEYED
                 and call.request_class.deduplication_scope is DeduplicationScope.ALL
@@ -218,7 +233,7 @@
                 or everywhere
                 or call.request_class.idempotency is Idempotency.IDEMPOTENT
             )
-            harmless = not call.out and repeatable
+            harmless = not call.attempt_in_flight and repeatable
             # It says that the tier bears no more now: a client back in 17 ms, as a retry is, fed the jam.
             advice_ms = self.settings.max_retry_after_ms
             self._actions.append(RejectRequest(call.id, advice_ms) if harmless else FailRequest(call.id))
@@ -233,7 +248,7 @@
             self._actions.append(Subscribe())
         call = self._waiting.pop(event.token, None)
         if call and call.timer_token == event.token and call.id in self._calls:
-            if call.queued:
+            if call.is_queued:
                 self._end(call)
             else:
                 self._attempt(call, now_ms)
@@ -242,37 +257,39 @@
 
     def _on_ended(self, event: AttemptEnded, now_ms: float) -> None:
         call, server = self._calls.get(event.request_id), self.fleet.servers.get(event.server_id)
-        self.inflight -= 1
+        self.in_flight -= 1
         if server is not None:
             self._take_outcome(server, call, event, now_ms)
         if call is not None and event.request_finished:
             del self._calls[event.request_id]
-            self.record.ended(
+            self.class_statistics.record_end(
                 call.request_class.name, now_ms - call.arrived_at_ms <= call.request_class.objective_ms
             )
-            self.record.answered(call.request_class.name, event.duration_ms)
+            self.class_statistics.record_delay(call.request_class.name, event.duration_ms)
         elif call is not None:
             self._retry(call, event, now_ms)
         self._release(now_ms)
 
     def _take_outcome(self, server: Server, call: Call | None, event: AttemptEnded, now_ms: float) -> None:
         # None: sent before the server started anew, or left the list and came back: no news of it.
-        sent = server.calls.pop(event.request_id, None)
-        server.used_ms = now_ms
-        if call is not None and call.idle_ms:
-            usual_ms = self.usual_delay.share * call.request_class.objective_ms
-            self._idle_limit.judge(call.idle_ms, event.outcome, event.duration_ms, usual_ms)
+        sent = server.calls_in_flight.pop(event.request_id, None)
+        server.last_used_at_ms = now_ms
+        if call is not None and call.connection_idle_ms:
+            usual_ms = self.typical_delay.objective_ratio * call.request_class.objective_ms
+            self._idle_limit.record_outcome(
+                call.connection_idle_ms, event.outcome, event.duration_ms, usual_ms
+            )
         if sent is None:
             return
         if event.load_report:
-            server.queue, server.report_ms = event.load_report.get("queue", 0.0), now_ms
-        self._ejection.learn(server, event.outcome, self._selector.ejected_share(now_ms), now_ms)
+            server.reported_queue, server.reported_at_ms = event.load_report.get("queue", 0.0), now_ms
+        self._ejection.record_outcome(server, event.outcome, self._selector.ejected_share(now_ms), now_ms)
         self._measure(server, *sent, event, now_ms)
         self._selector.update(server, now_ms)
 
     def _retry(self, call: Call, event: AttemptEnded, now_ms: float) -> None:
         """Try a call again whose attempt has failed, as the loop and the class allow, or end it."""
-        call.out = False
+        call.attempt_in_flight = False
         if (
             call.first_possible_run_at_ms is None
             and call.last_server
@@ -280,7 +297,7 @@
         ):
             call.first_possible_run_at_ms, call.deduplication_group = (
                 call.sent_at_ms,
-                call.last_server.group(call.request_class.deduplication_scope),
+                call.last_server.deduplication_group(call.request_class.deduplication_scope),
             )
         if self._rng.random() < self.controller.retry_probability(now_ms):
             # As the paper's timer runs from the send, a time-out has been waited for already.
@@ -298,15 +315,15 @@
         """
         if event.outcome in (Outcome.SUCCESS, Outcome.TIMEOUT):
             served = event.outcome is Outcome.SUCCESS
-            self.usual_delay.note(event.duration_ms / objective_ms)
-            usual = self.usual_delay.share
-            if usual and (served or sent_at_ms >= server.latest_served_ms):
-                server.judge_delay(event.duration_ms / objective_ms / usual, now_ms)
+            self.typical_delay.record(event.duration_ms / objective_ms)
+            usual = self.typical_delay.objective_ratio
+            if usual and (served or sent_at_ms >= server.latest_served_sent_at_ms):
+                server.record_latency(event.duration_ms / objective_ms / usual, now_ms)
             if served:
-                server.latest_served_ms = max(server.latest_served_ms, sent_at_ms)
-            self.controller.answered(event.duration_ms, objective_ms, now_ms, served)
+                server.latest_served_sent_at_ms = max(server.latest_served_sent_at_ms, sent_at_ms)
+            self.controller.record_response(event.duration_ms, objective_ms, now_ms, served)
         elif event.outcome is Outcome.REJECTED:  # full is as slow as a server gets
-            self.controller.answered(objective_ms, objective_ms, now_ms, False)
+            self.controller.record_response(objective_ms, objective_ms, now_ms, False)
 
     def _on_list(self, event: EndpointUpdate, now_ms: float) -> None:
         if event.kind is UpdateKind.FAILED:
--- a/workspond/policy/call.py
+++ b/workspond/policy/call.py
@@ -17,11 +17,11 @@
         "deadline_at_ms",
         "first_possible_run_at_ms",
         "id",
-        "idle_ms",
+        "connection_idle_ms",
         "last_server",
-        "out",
+        "attempt_in_flight",
         "over_quota",
-        "queued",
+        "is_queued",
         "deduplication_group",
         "sent_at_ms",
         "timer_token",
@@ -39,9 +39,9 @@
             else min(self.deadline_at_ms, now_ms + request_class.objective_ms)
         )
         self.attempts = 0
-        self.out, self.sent_at_ms = False, now_ms  # whether an attempt is out, and since when,
-        self.idle_ms = 0.0  # on a connection that had idled for so long
-        self.queued, self.timer_token = False, 0  # waits for room; the timer it waits for
+        self.attempt_in_flight, self.sent_at_ms = False, now_ms  # whether an attempt is out, and since when,
+        self.connection_idle_ms = 0.0  # on a connection that had idled for so long
+        self.is_queued, self.timer_token = False, 0  # waits for room; the timer it waits for
         self.last_server: Server | None = None
         self.first_possible_run_at_ms: float | None = (
             None  # when the first attempt that may have run was sent,
--- a/workspond/policy/fleet.py
+++ b/workspond/policy/fleet.py
@@ -22,8 +22,8 @@
 class FleetChange:
     """What a piece of news does to the servers that are this copy's to use."""
 
-    left: list[Server] = field(default_factory=list)  # no longer to use
-    touched: list[Server] = field(default_factory=list)  # new to it, or changed
+    removed: list[Server] = field(default_factory=list)  # no longer to use
+    updated: list[Server] = field(default_factory=list)  # new to it, or changed
 
 
 class Fleet:
@@ -36,7 +36,7 @@
         self._subset = Subset(settings.replica_index, settings.replicas, SLICES)
         self._groups = GroupIndex()  # those in service
         self._group_kinds = {request_class.deduplication_scope for request_class in settings.classes}
-        self.parts = 0.0  # the sum of what is its to use of them
+        self.total_subset_weight = 0.0  # the sum of what is its to use of them
 
     @property
     def ready(self) -> list[Server]:
@@ -49,20 +49,20 @@
         return len(self._ready)
 
     @property
-    def slices(self) -> int:
+    def slice_count(self) -> int:
         """How many slices of the fleet this copy uses."""
         return self._subset.slices
 
     @property
-    def slice(self) -> float:
+    def slice_size(self) -> float:
         """How many servers one slice is worth."""
         return len(self._subset) / self._nodes
 
-    def uses(self, server: Server) -> bool:
+    def is_in_subset(self, server: Server) -> bool:
         """Whether a server is this copy's to use."""
         return self._ready.get(server.id) is server
 
-    def holds(self, server: Server) -> bool:
+    def is_current(self, server: Server) -> bool:
         """Whether a server is still listed as the process that it was."""
         return self.servers.get(server.id) is server
 
@@ -92,28 +92,28 @@
             server = self.servers[entry.server_id] = Server(entry, now_ms, self._rng)
         elif not server.update(entry):
             return
-        if not self.uses(server):
-            server.part = server.share
+        if not self.is_in_subset(server):
+            server.subset_weight = server.listed_weight
         if server.in_service:
-            self._subset.set_share(server.id, server.share)
+            self._subset.set_share(server.id, server.listed_weight)
             self._groups.put(server, self._group_keys(server))
         else:
             self._subset.remove(server.id)
             self._groups.remove(server)
-        if self.uses(server):
-            change.touched.append(server)
+        if self.is_in_subset(server):
+            change.updated.append(server)
 
     def _group_keys(self, server: Server) -> tuple[Hashable, ...]:
-        return tuple((kind, server.group(kind)) for kind in self._group_kinds)
+        return tuple((kind, server.deduplication_group(kind)) for kind in self._group_kinds)
 
     def _remove(self, server: Server, change: FleetChange) -> None:
         del self.servers[server.id]
         self._subset.remove(server.id)
         self._groups.remove(server)
         if self._ready.pop(server.id, None) is not None:
-            change.left.append(server)
+            change.removed.append(server)
 
-    def draw_repeat_group(self, call: Call, most: int) -> list[Server]:
+    def draw_deduplication_group(self, call: Call, most: int) -> list[Server]:
         """Servers that a call which may have run can still go to, so many at most."""
         group: DeduplicationScope = call.request_class.deduplication_scope
         return self._groups.draw((group, call.deduplication_group), most, self._rng)
@@ -121,8 +121,8 @@
     def grow(self, now_ms: float) -> FleetChange:
         """Use twice as many slices, where there are more: a busy caller needs more of the fleet."""
         change = FleetChange()
-        if self.slices < self._nodes:
-            self._subset.use_slices(2 * self.slices)
+        if self.slice_count < self._nodes:
+            self._subset.use_slices(2 * self.slice_count)
             self._recut(now_ms, change)
         return change
 
@@ -134,14 +134,14 @@
             if part is None:
                 if used is not None:
                     del self._ready[id]
-                    used.part = used.share
-                    change.left.append(used)
+                    used.subset_weight = used.listed_weight
+                    change.removed.append(used)
                 continue
             server = self.servers[id]
             if used is None:  # it has saved up nothing while it was not this copy's
                 self._ready[id] = server
-                server.budget = TokenBucket(min(server.budget.tokens, self._rng.random()), now_ms)
-            server.part = part
-            change.touched.append(server)
+                server.cold_budget = TokenBucket(min(server.cold_budget.tokens, self._rng.random()), now_ms)
+            server.subset_weight = part
+            change.updated.append(server)
         if changed:
-            self.parts = sum(self._subset.parts.values())
+            self.total_subset_weight = sum(self._subset.parts.values())
--- a/workspond/policy/idle_timeout.py
+++ b/workspond/policy/idle_timeout.py
@@ -19,11 +19,11 @@
         self._limit_ms = math.inf
         self._lost_ms = self._gone_ms = math.inf  # idle times of the last that was lost, and that was gone
 
-    def exceeded(self, idle_ms: float) -> bool:
+    def is_exceeded(self, idle_ms: float) -> bool:
         """Whether a connection that has idled so long is to be closed before use."""
         return idle_ms > self._limit_ms
 
-    def judge(self, idle_ms: float, result: Outcome, duration_ms: float, usual_ms: float) -> None:
+    def record_outcome(self, idle_ms: float, result: Outcome, duration_ms: float, usual_ms: float) -> None:
         """Two losses on idled connections, none served that idled as long: close such before use."""
         # A reset sooner than any answer tells that the connection was gone: rota, one in six after 0.1 s. The
         # five served between two such kept it from being learnt. Of two, the longer: one may be chance.
--- a/workspond/policy/moving_averages.py
+++ b/workspond/policy/moving_averages.py
@@ -15,7 +15,7 @@
         self._window_ms, self._seen_ms = window_ms, -math.inf
         self.events = self.span_s = 0.0
 
-    def count(self, events: float, now_ms: float) -> None:
+    def record(self, events: float, now_ms: float) -> None:
         """Add events, or none to let its clock run."""
         passed = max(0.0, now_ms - self._seen_ms) if self._seen_ms > -math.inf else 0.0
         if passed or self._seen_ms == -math.inf:
@@ -39,7 +39,7 @@
         self._window_ms, self._seen_ms = window_ms, -math.inf
         self._last = self.value = 0.0
 
-    def note(self, value: float, now_ms: float) -> None:
+    def record(self, value: float, now_ms: float) -> None:
         """Take the value as it is from now on."""
         if self._seen_ms == -math.inf:
             self.value = value
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -23,15 +23,15 @@
         self._rng = rng
         self._errors = 0.0  # the share of all recent attempts
 
-    def learn(self, server: Server, result: Outcome, ejected_share: float, now_ms: float) -> None:
+    def record_outcome(self, server: Server, result: Outcome, ejected_share: float, now_ms: float) -> None:
         """What an outcome tells of the server's health; `ejected_share`: of its peers that are out now."""
         if result in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
-            held = min(server.inflight_limit, float(server.inflight))
-            server.inflight_limit = max(1.0, held * LIMIT_CUT)
-            if result is Outcome.CONNECT_FAILED and not server.inflight:  # down, or out of connections
+            held = min(server.in_flight_limit, float(server.in_flight))
+            server.in_flight_limit = max(1.0, held * LIMIT_CUT)
+            if result is Outcome.CONNECT_FAILED and not server.in_flight:  # down, or out of connections
                 self._eject(server, now_ms)
         elif result is Outcome.SUCCESS:
-            server.inflight_limit += 1.0 / server.inflight_limit
+            server.in_flight_limit += 1.0 / server.in_flight_limit
         if result in (Outcome.SUCCESS, Outcome.ERROR, Outcome.RESET):
             self._weigh(server, result is not Outcome.SUCCESS, ejected_share, now_ms)
 
--- a/workspond/policy/request_queue.py
+++ b/workspond/policy/request_queue.py
@@ -16,17 +16,17 @@
     def __init__(self) -> None:
         self._queues: dict[tuple[str, bool], deque[Call]] = {}
 
-    def latest_ms(self, call: Call, tier: int) -> float:
+    def queue_deadline_at_ms(self, call: Call, tier: int) -> float:
         """Until when a call may wait: an answer within its aim must still be possible."""
         share = HOLD_SHARES[tier > 0]
         return min(call.arrived_at_ms + share * call.request_class.objective_ms, call.deadline_at_ms)
 
     def add(self, call: Call) -> None:
         """Let a call wait."""
-        call.queued = True
+        call.is_queued = True
         self._queues.setdefault((call.request_class.name, call.over_quota), deque()).append(call)
 
-    def by_value(self, value: Callable[[str, bool], float]) -> Iterator[deque[Call]]:
+    def by_priority(self, value: Callable[[str, bool], float]) -> Iterator[deque[Call]]:
         """The queues that are not empty, that of most value first."""
         values = {key: value(*key) for key, queue in self._queues.items() if queue}
         for key in sorted(values, key=values.__getitem__, reverse=True):
--- a/workspond/policy/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self._kp, self._ki = math.sin(PHASE_MARGIN), math.cos(PHASE_MARGIN)  # equations 40, 41 over nu1
-        self.answers, self.failures = (
+        self.response_rate, self.failure_rate = (
             EventRate(RATE_WINDOW_MS),
             EventRate(RATE_WINDOW_MS),
         )  # nu1, in answers a second
@@ -33,19 +33,19 @@
         self.tuned_rate = self.integral = self.allowed_rate = 0.0
         self._excess = self._shed = 0.0  # integral for first sends, by nu1; the share of them to shed
 
-    def answered(self, delay_ms: float, objective_ms: float, now_ms: float, served: bool) -> None:
+    def record_response(self, delay_ms: float, objective_ms: float, now_ms: float, served: bool) -> None:
         """Take a delay sample and set r = KP e + KI * integral of e, clamped with its integral."""
         # Its own clock: the window reads the rate too, and the integral once ran on what time was left.
         faded = math.exp(min(0.0, self._last_ms - now_ms) / RATE_WINDOW_MS)
         passed_s, self._last_ms = max(0.0, min(now_ms - self._last_ms, RATE_WINDOW_MS)) / 1000.0, now_ms
-        self.answers.count(served, now_ms)
-        self.failures.count(0.0, now_ms)  # so that its clock runs too
+        self.response_rate.record(served, now_ms)
+        self.failure_rate.record(0.0, now_ms)  # so that its clock runs too
         # Old samples fade with time too: a copy that sheds gets few new ones, and went on shedding for these.
         kept = min(1.0 - 1.0 / SAMPLES, faded)
         self._samples = self._samples * kept + 1.0
         self._aim_s = self._aim_s * kept + objective_ms / 1000.0
         self._excess_s = self._excess_s * kept + (TARGET_SHARE * objective_ms - delay_ms) / 1000.0
-        rate = self.answers.per_s()
+        rate = self.response_rate.per_s()
         if not RETUNE_BAND[0] * self.tuned_rate <= rate <= RETUNE_BAND[1] * self.tuned_rate:
             # A copy starts with its retries open; later a retune keeps the share of retries it allows.
             self.integral = self.integral * rate / self.tuned_rate if self.tuned_rate else rate
@@ -58,11 +58,11 @@
         self._excess = min(max(self._excess * faded - self._ki * error_s * passed_s, 0.0), SHED_MOST)
         self._shed = min(max(self._excess - self._kp * error_s, 0.0), SHED_MOST)
 
-    def shed_share(self, now_ms: float) -> float:
+    def shed_fraction(self, now_ms: float) -> float:
         """The share of first sends to shed; it fades, as a copy that sheds all sees no answers any more."""
         return self._shed * math.exp(min(0.0, self._last_ms - now_ms) / RATE_WINDOW_MS)
 
-    def mean_aim_s(self) -> float:
+    def mean_objective_s(self) -> float:
         """The aim of what was answered lately; at least one answer must have come."""
         return self._aim_s / self._samples
 
@@ -70,11 +70,11 @@
         """The mean delay in targets; at least one answer must have come."""
         return 1.0 - self._excess_s / (TARGET_SHARE * self._aim_s)
 
-    def open_share(self) -> float:
+    def retry_fraction(self) -> float:
         """The share of the answer rate that retries may reach."""
         return self.allowed_rate / (self.tuned_rate or 1.0)
 
     def retry_probability(self, now_ms: float) -> float:
         """Count a failure; its retry's probability is r over the measured failure rate."""
-        self.failures.count(1.0, now_ms)
-        return min(1.0, self.allowed_rate / self.failures.per_s()) if self.tuned_rate else 1.0
+        self.failure_rate.record(1.0, now_ms)
+        return min(1.0, self.allowed_rate / self.failure_rate.per_s()) if self.tuned_rate else 1.0
--- a/workspond/policy/retry_policy.py
+++ b/workspond/policy/retry_policy.py
@@ -40,7 +40,7 @@
         """Count an attempt beyond a request's first."""
         self._further.add(now_ms)
 
-    def in_budget(self, now_ms: float) -> bool:
+    def within_retry_budget(self, now_ms: float) -> bool:
         """Whether the stated budget of attempts beyond the first bears one more now."""
         ratio, taken = self._settings.retry_budget_ratio, self._taken.count(now_ms)
         return (
@@ -52,11 +52,11 @@
         """Whether an attempt that ended so may have run."""
         return result not in self._never_ran
 
-    def repeatable(self, call: Call, now_ms: float) -> bool:
+    def may_be_repeated(self, call: Call, now_ms: float) -> bool:
         """Whether the class lets the call go out (again)."""
-        return now_ms < self.repeat_ends_ms(call)
+        return now_ms < self.repeat_deadline_at_ms(call)
 
-    def repeat_ends_ms(self, call: Call) -> float:
+    def repeat_deadline_at_ms(self, call: Call) -> float:
         """From when on the call must not go out (again)."""
         if call.first_possible_run_at_ms is None or call.request_class.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
@@ -84,7 +84,7 @@
             + wait_ms
             + max(2.0 * self._settings.tick_ms, usual_share * call.request_class.objective_ms)
         )
-        more = call.attempts < self._settings.max_attempts and self.repeatable(call, starts_ms)
+        more = call.attempts < self._settings.max_attempts and self.may_be_repeated(call, starts_ms)
         return wait_ms if starts_ms < call.useful_until_ms and more else None
 
     def attempt_timeout_ms(self, call: Call, left_ms: float, usual_share: float, measured: bool) -> float:
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -30,67 +30,73 @@
     """One server of the list."""
 
     __slots__ = (
-        "budget",
-        "budget_per_ms",
-        "calls",
+        "cold_budget",
+        "cold_budget_per_ms",
+        "calls_in_flight",
         "cell",
         "counted_weight",
-        "credit",
-        "due_ms",
+        "current_weight",
+        "refresh_at_ms",
         "ejected",
         "ejected_until_ms",
         "ejections",
         "error_log_odds",
         "id",
         "in_service",
-        "inflight_limit",
-        "latest_served_ms",
-        "lost",
-        "part",
-        "place",
-        "queue",
-        "report_ms",
-        "share",
-        "slow_ms",
-        "slowness",
+        "in_flight_limit",
+        "latest_served_sent_at_ms",
+        "stalled_calls",
+        "subset_weight",
+        "rotation_entry",
+        "reported_queue",
+        "reported_at_ms",
+        "listed_weight",
+        "relative_latency_at_ms",
+        "relative_latency",
         "started_at_ms",
-        "used_ms",
-        "weight",
+        "last_used_at_ms",
+        "effective_weight",
         "zone",
     )
 
     def __init__(self, entry: Endpoint, now_ms: float, rng: random.Random) -> None:
         self.id = entry.server_id
-        self.calls: dict[str, tuple[float, float]] = {}  # when each call out was sent, and its aim
-        self.latest_served_ms = -math.inf  # when the latest sent of the calls that it served was sent
-        self.queue, self.report_ms = 0.0, now_ms  # requests it last said were waiting there, and when it did
-        self.slowness, self.slow_ms = 1.0, now_ms  # its delay over its peers', averaged, and when that was
+        self.calls_in_flight: dict[str, tuple[float, float]] = {}  # when each call out was sent, and its aim
+        self.latest_served_sent_at_ms = -math.inf  # when the latest sent of the calls that it served was sent
+        self.reported_queue, self.reported_at_ms = (
+            0.0,
+            now_ms,
+        )  # requests it last said were waiting there, and when it did
+        self.relative_latency, self.relative_latency_at_ms = (
+            1.0,
+            now_ms,
+        )  # its delay over its peers', averaged, and when that was
         self.ejected_until_ms, self.ejections = -math.inf, 0  # how often in a row
-        self.used_ms = now_ms  # when a connection to it was last in use
+        self.last_used_at_ms = now_ms  # when a connection to it was last in use
         self.error_log_odds = 0.0  # that it fails much more often than its peers
-        self.inflight_limit = math.inf  # once it has turned an attempt away
-        self.budget = TokenBucket(
+        self.in_flight_limit = math.inf  # once it has turned an attempt away
+        self.cold_budget = TokenBucket(
             rng.random(), now_ms
         )  # while cold; random, as all copies learn of it at once
-        self.budget_per_ms = 0.0  # what came into it when it was last looked at
+        self.cold_budget_per_ms = 0.0  # what came into it when it was last looked at
         self._read(entry)
-        self.part = self.share  # of it that is this copy's to use
+        self.subset_weight = self.listed_weight  # of it that is this copy's to use
         # What the selection of servers last found, see `server_selection`.
-        self.place: RotationEntry | None = None  # in a rotation
-        self.credit = 0.0  # in rounds of the rotation, while it has no place
-        self.weight = 0.0  # 0: not in any rotation yet
+        self.rotation_entry: RotationEntry | None = None  # in a rotation
+        self.current_weight = 0.0  # in rounds of the rotation, while it has no place
+        self.effective_weight = 0.0  # 0: not in any rotation yet
         self.counted_weight = 0.0  # of it in the sum of all
-        self.lost, self.ejected = 0, False
-        self.due_ms = math.inf  # when it has to be looked at again
+        self.stalled_calls, self.ejected = 0, False
+        self.refresh_at_ms = math.inf  # when it has to be looked at again
 
     def update(self, entry: Endpoint) -> bool:
         """Take what the list now says of it; whether anything is new."""
-        known = self.zone, self.cell, self.share, self.in_service, self.started_at_ms
+        known = self.zone, self.cell, self.listed_weight, self.in_service, self.started_at_ms
         self._read(entry)
-        return known != (self.zone, self.cell, self.share, self.in_service, self.started_at_ms)
+        return known != (self.zone, self.cell, self.listed_weight, self.in_service, self.started_at_ms)
 
     def _read(self, entry: Endpoint) -> None:
-        self.zone, self.cell, self.share = entry.zone, entry.cell, max(entry.weight, 0.0)
+        self.zone, self.cell, self.listed_weight = entry.zone, entry.cell, max(entry.weight, 0.0)
         self.in_service, self.started_at_ms = entry.state is EndpointState.IN_SERVICE, entry.started_at_ms
 
     def restarted(self, entry: Endpoint) -> bool:
@@ -101,17 +107,22 @@
         )
 
     @property
-    def inflight(self) -> int:
+    def in_flight(self) -> int:
         """Calls of this copy that are out to it."""
-        return len(self.calls)
+        return len(self.calls_in_flight)
 
     def _slowness_at(self, now_ms: float) -> float:
-        return 1.0 + (self.slowness - 1.0) * math.exp((self.slow_ms - now_ms) / SLOW_FADE_MS)
+        return 1.0 + (self.relative_latency - 1.0) * math.exp(
+            (self.relative_latency_at_ms - now_ms) / SLOW_FADE_MS
+        )
 
-    def judge_delay(self, ratio: float, now_ms: float) -> None:
+    def record_latency(self, ratio: float, now_ms: float) -> None:
         """Take the delay of one answer over its peers'."""
         slowness = self._slowness_at(now_ms)
-        self.slowness, self.slow_ms = slowness + (min(ratio, SLOW_MOST) - slowness) / SLOW_SAMPLES, now_ms
+        self.relative_latency, self.relative_latency_at_ms = (
+            slowness + (min(ratio, SLOW_MOST) - slowness) / SLOW_SAMPLES,
+            now_ms,
+        )
 
     def _waiting_call(self) -> tuple[float, float] | None:
         """The oldest call out that no later one has overtaken: when it was sent, and its aim."""
@@ -119,53 +130,56 @@
         # by one that later ones overtook: it is the connection that died, or that call alone that is long.
         # sulcast-porto-alegre 3646: two dead connections kept two sound servers of four from work for 6 s. It
         # hides a server that answers few and loses the rest, until these time out.
-        for call in self.calls.values():
-            if call[0] >= self.latest_served_ms:
+        for call in self.calls_in_flight.values():
+            if call[0] >= self.latest_served_sent_at_ms:
                 return call
         return None
 
-    def speed(self, now_ms: float, usual_share: float) -> float:
+    def speed_factor(self, now_ms: float, usual_share: float) -> float:
         """What is left of its weight, once it is clearly slower than its peers, or keeps a call waiting."""
-        slowness = max(self._slowness_at(now_ms), SLOW_FROM) if self.slowness > SLOW_FROM else SLOW_FROM
-        if self.calls and usual_share and (waiting := self._waiting_call()) is not None:
+        slowness = (
+            max(self._slowness_at(now_ms), SLOW_FROM) if self.relative_latency > SLOW_FROM else SLOW_FROM
+        )
+        if self.calls_in_flight and usual_share and (waiting := self._waiting_call()) is not None:
             slowness = max(slowness, (now_ms - waiting[0]) / (usual_share * waiting[1]) / OVERDUE)
         speed = math.pow(SLOW_FROM / slowness, SLOW_POWER) if slowness > SLOW_FROM else 1.0
-        queue = self._queue_at(now_ms) if self.queue else 0.0
+        queue = self._queue_at(now_ms) if self.reported_queue else 0.0
         return speed / (1.0 + queue) ** QUEUE_POWER if queue else speed
 
     def _queue_at(self, now_ms: float) -> float:
-        queue = self.queue * math.exp((self.report_ms - now_ms) / REPORT_FADE_MS)
+        queue = self.reported_queue * math.exp((self.reported_at_ms - now_ms) / REPORT_FADE_MS)
         return queue if queue >= LEAST_QUEUE else 0.0
 
-    def speed_changes_ms(self, now_ms: float, usual_share: float) -> float:
+    def next_speed_change_ms(self, now_ms: float, usual_share: float) -> float:
         """When its speed, or the calls that count as lost, will be another by more than a little."""
         due_ms = math.inf
-        slowness = self._slowness_at(now_ms) if self.slowness > SLOW_FROM else 1.0
+        slowness = self._slowness_at(now_ms) if self.relative_latency > SLOW_FROM else 1.0
         if slowness > SLOW_FROM:
             due_ms = now_ms + WEIGHT_STEP * SLOW_FADE_MS * slowness / (slowness - 1.0) / SLOW_POWER
-        if self.queue and (queue := self._queue_at(now_ms)):
+        if self.reported_queue and (queue := self._queue_at(now_ms)):
             due_ms = min(due_ms, now_ms + WEIGHT_STEP * REPORT_FADE_MS * (1.0 + queue) / queue / QUEUE_POWER)
-        if not self.calls or not usual_share:
+        if not self.calls_in_flight or not usual_share:
             return due_ms
         waiting = self._waiting_call()
         if waiting is not None:
             overdue_ms = waiting[0] + OVERDUE * max(slowness, SLOW_FROM) * usual_share * waiting[1]
             step_ms = now_ms + max(1.0, WEIGHT_STEP / SLOW_POWER * (now_ms - waiting[0]))
             due_ms = min(due_ms, max(overdue_ms, step_ms))
-        for sent_at_ms, objective_ms in self.calls.values():
+        for sent_at_ms, objective_ms in self.calls_in_flight.values():
             lost_ms = sent_at_ms + LOST * usual_share * objective_ms
-            if sent_at_ms < self.latest_served_ms and now_ms <= lost_ms:
+            if sent_at_ms < self.latest_served_sent_at_ms and now_ms <= lost_ms:
                 due_ms = min(due_ms, lost_ms + 1.0)
         return due_ms
 
-    def lost_calls(self, now_ms: float, usual_share: float) -> int:
+    def count_stalled_calls(self, now_ms: float, usual_share: float) -> int:
         """How many of its calls out it can't be working on, as far as can be told."""
         return sum(
-            sent_at_ms < self.latest_served_ms and now_ms - sent_at_ms > LOST * usual_share * objective_ms
-            for sent_at_ms, objective_ms in self.calls.values()
+            sent_at_ms < self.latest_served_sent_at_ms
+            and now_ms - sent_at_ms > LOST * usual_share * objective_ms
+            for sent_at_ms, objective_ms in self.calls_in_flight.values()
         )
 
-    def group(self, group: DeduplicationScope) -> str | int | None:
+    def deduplication_group(self, group: DeduplicationScope) -> str | int | None:
         """The group that drops repeats here, as a value to compare; None where all do."""
         return (
             self.zone
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -34,16 +34,20 @@
     weight: float
     load: float  # calls that it works on for this copy, for the part of it that is this copy's to use
 
-    def credit(self) -> float:
+    def current_weight(self) -> float:
         """How far ahead it is."""
-        return self.server.place.credit if self.server.place is not None else self.server.credit
+        return (
+            self.server.rotation_entry.current_weight
+            if self.server.rotation_entry is not None
+            else self.server.current_weight
+        )
 
-    def gain(self, credit: float) -> None:
+    def adjust(self, credit: float) -> None:
         """Give it credit, or take it."""
-        if self.server.place is not None:
-            self.server.place.rotation.credit(self.server, credit)
+        if self.server.rotation_entry is not None:
+            self.server.rotation_entry.rotation.adjust(self.server, credit)
         else:
-            self.server.credit += credit
+            self.server.current_weight += credit
 
 
 class ServerSelector:
@@ -62,85 +66,90 @@
 
     def apply(self, change: FleetChange, now_ms: float) -> None:
         """Take what the list has changed."""
-        for server in change.left:
+        for server in change.removed:
             self._forget(server)
-        for server in change.touched:
+        for server in change.updated:
             self.update(server, now_ms)
 
     def update(self, server: Server, now_ms: float) -> None:
         """Work out anew what is known of a server, if it is this copy's to use."""
-        if not self._fleet.uses(server):
+        if not self._fleet.is_in_subset(server):
             return
-        usual, slow_start = self._usual.share, self._slow_start
-        warmth = slow_start.warmth(server, now_ms)
-        has_budget = warmth >= 1.0 or slow_start.budget(server, warmth, self._fleet.parts, now_ms) >= 1.0
+        usual, slow_start = self._usual.objective_ratio, self._slow_start
+        warmth = slow_start.capacity_fraction(server, now_ms)
+        has_budget = (
+            warmth >= 1.0
+            or slow_start.refill_cold_budget(server, warmth, self._fleet.total_subset_weight, now_ms) >= 1.0
+        )
         weight = self._weight_of(server, warmth, now_ms)
-        lost = server.lost_calls(now_ms, usual) if server.calls else 0
+        lost = server.count_stalled_calls(now_ms, usual) if server.calls_in_flight else 0
         ejected = now_ms < server.ejected_until_ms
         self._count(server, weight if has_budget else 0.0, lost, ejected)
-        selectable = has_budget and server.inflight < server.inflight_limit
+        selectable = has_budget and server.in_flight < server.in_flight_limit
         rotation = (self._ejected if ejected else self._open) if selectable else None
-        self._place(server, rotation, (server.inflight - lost) / server.part, weight)
-        due_ms = min(server.speed_changes_ms(now_ms, usual), slow_start.changes_ms(server, warmth, now_ms))
+        self._place(server, rotation, (server.in_flight - lost) / server.subset_weight, weight)
+        due_ms = min(
+            server.next_speed_change_ms(now_ms, usual), slow_start.next_change_ms(server, warmth, now_ms)
+        )
         self._look_again(server, min(due_ms, server.ejected_until_ms) if ejected else due_ms)
 
     def _weight_of(self, server: Server, warmth: float, now_ms: float) -> float:
-        speed = max(warmth * server.speed(now_ms, self._usual.share), LEAST_SPEED)
-        return max(server.part * speed, LEAST_WEIGHT)
+        speed = max(warmth * server.speed_factor(now_ms, self._usual.objective_ratio), LEAST_SPEED)
+        return max(server.subset_weight * speed, LEAST_WEIGHT)
 
     def _forget(self, server: Server) -> None:
         """Drop a server that is no longer this copy's to use."""
-        if server.place is not None:
-            server.place.rotation.remove(server)
+        if server.rotation_entry is not None:
+            server.rotation_entry.rotation.remove(server)
         self._count(server, 0.0, 0, False)
-        server.due_ms = math.inf
+        server.refresh_at_ms = math.inf
 
     def _count(self, server: Server, weight: float, lost: int, ejected: bool) -> None:
         self._weight += weight - server.counted_weight
-        self._lost_calls += lost - server.lost
+        self._lost_calls += lost - server.stalled_calls
         self._ejected_count += ejected - server.ejected
-        server.counted_weight, server.lost, server.ejected = weight, lost, ejected
+        server.counted_weight, server.stalled_calls, server.ejected = weight, lost, ejected
 
     def _place(self, server: Server, rotation: Rotation | None, load: float, weight: float) -> None:
         """Put a server where it belongs, with the credit that it has."""
-        place = server.place
+        place = server.rotation_entry
         if place is not None:
-            if place.rotation is rotation and place.load == load and server.weight == weight:
+            if place.rotation is rotation and place.load == load and server.effective_weight == weight:
                 return
             place.rotation.remove(server)
         self._start(server, weight)
-        server.weight = weight
+        server.effective_weight = weight
         if rotation is not None:
             rotation.add(server, load)
 
     def _start(self, server: Server, weight: float) -> None:
         """Give a server that is new a random place in the round, so that copies don't go round in step."""
-        if not server.weight:
-            server.credit = -self._rng.random() * max(weight, self._round_weight)
-            server.weight = weight
+        if not server.effective_weight:
+            server.current_weight = -self._rng.random() * max(weight, self._round_weight)
+            server.effective_weight = weight
 
     def _look_again(self, server: Server, due_ms: float) -> None:
-        if due_ms < math.inf and due_ms != server.due_ms:
+        if due_ms < math.inf and due_ms != server.refresh_at_ms:
             heapq.heappush(self._due, (due_ms, next(self._serial), server))
-        server.due_ms = due_ms
+        server.refresh_at_ms = due_ms
 
-    def refresh(self, now_ms: float) -> None:
+    def refresh_due(self, now_ms: float) -> None:
         """Look at servers whose time has come: those of longest ago, so many at most."""
         looked = 0
         while self._due and self._due[0][0] <= now_ms and looked < MOST_DUE:
             due_ms, _, server = heapq.heappop(self._due)
-            if server.due_ms == due_ms:
+            if server.refresh_at_ms == due_ms:
                 self.update(server, now_ms)
                 looked += 1
 
-    def lost_calls(self, now_ms: float) -> int:
+    def count_stalled_calls(self, now_ms: float) -> int:
         """How many calls are out that no server can be working on, as far as can be told."""
-        self.refresh(now_ms)
+        self.refresh_due(now_ms)
         return self._lost_calls
 
     def ejected_share(self, now_ms: float) -> float:
         """The share of this copy's servers that are ejected."""
-        self.refresh(now_ms)
+        self.refresh_due(now_ms)
         return self._ejected_count / (self._fleet.ready_count or 1)
 
     # Picks
@@ -149,19 +158,21 @@
         """The server for the call's next attempt; None where none may get one now."""
         if call.first_possible_run_at_ms is not None:
             return self._pick_in_group(call, now_ms)
-        self.refresh(now_ms)
-        if self._fleet.parts:
-            self._slow_start.note_warm_share(max(0.0, self._weight) / self._fleet.parts, now_ms)
+        self.refresh_due(now_ms)
+        if self._fleet.total_subset_weight:
+            self._slow_start.record_warm_fraction(
+                max(0.0, self._weight) / self._fleet.total_subset_weight, now_ms
+            )
         last, rotation = call.last_server, self._open if self._open.size else self._ejected
         # Elsewhere than last time, where there is a choice.
         aside = last if last is not None and last in rotation and rotation.size > 1 else None
         load = 0.0
-        if aside is not None and aside.place is not None:
-            load = aside.place.load
+        if aside is not None and aside.rotation_entry is not None:
+            load = aside.rotation_entry.load
             rotation.remove(aside)
         server = self._leader(now_ms)
-        if server is not None and server.place is not None:
-            self._round_weight = server.place.rotation.charge(server)
+        if server is not None and server.rotation_entry is not None:
+            self._round_weight = server.rotation_entry.rotation.charge(server)
         if aside is not None:
             rotation.add(aside, load)
         return server if server is not None else aside
@@ -174,14 +185,15 @@
             # idle.
             rotation = self._open if self._open.size else self._ejected
             server = rotation.leader()
-            if server is None or server.due_ms > now_ms:
+            if server is None or server.refresh_at_ms > now_ms:
                 return server
             self.update(server, now_ms)
 
     def _pick_in_group(self, call: Call, now_ms: float) -> Server | None:
         """The server for a call that may have run: of those that drop a repeat, the one furthest ahead."""
         drawn = [
-            self._candidate(server, now_ms) for server in self._fleet.draw_repeat_group(call, GROUP_DRAWN)
+            self._candidate(server, now_ms)
+            for server in self._fleet.draw_deduplication_group(call, GROUP_DRAWN)
         ]
         usable = [candidate for candidate in drawn if candidate is not None]
         found = [candidate for candidate in usable if now_ms >= candidate.server.ejected_until_ms] or usable
@@ -192,23 +204,35 @@
         if not found:
             return None
         for candidate in found:
-            candidate.gain(candidate.weight)
-        best = max(found, key=lambda candidate: candidate.credit())
+            candidate.adjust(candidate.weight)
+        best = max(found, key=lambda candidate: candidate.current_weight())
         self._round_weight = sum(candidate.weight for candidate in found)
-        best.gain(-self._round_weight)
+        best.adjust(-self._round_weight)
         return best.server
 
     def _candidate(self, server: Server, now_ms: float) -> Candidate | None:
         """A server as it is now, if it may get an attempt."""
-        if self._fleet.uses(server):
-            if server.place is None or server.due_ms <= now_ms:
+        if self._fleet.is_in_subset(server):
+            if server.rotation_entry is None or server.refresh_at_ms <= now_ms:
                 self.update(server, now_ms)
-            return Candidate(server, server.weight, server.place.load) if server.place is not None else None
-        if server.inflight >= server.inflight_limit or not server.part:
+            return (
+                Candidate(server, server.effective_weight, server.rotation_entry.load)
+                if server.rotation_entry is not None
+                else None
+            )
+        if server.in_flight >= server.in_flight_limit or not server.subset_weight:
             return None
-        warmth, usual = self._slow_start.warmth(server, now_ms), self._usual.share
-        if warmth < 1.0 and self._slow_start.budget(server, warmth, self._fleet.parts, now_ms) < 1.0:
+        warmth, usual = self._slow_start.capacity_fraction(server, now_ms), self._usual.objective_ratio
+        if (
+            warmth < 1.0
+            and self._slow_start.refill_cold_budget(server, warmth, self._fleet.total_subset_weight, now_ms)
+            < 1.0
+        ):
             return None
         weight = self._weight_of(server, warmth, now_ms)
         self._start(server, weight)
-        return Candidate(server, weight, (server.inflight - server.lost_calls(now_ms, usual)) / server.part)
+        return Candidate(
+            server,
+            weight,
+            (server.in_flight - server.count_stalled_calls(now_ms, usual)) / server.subset_weight,
+        )
--- a/workspond/policy/token_bucket.py
+++ b/workspond/policy/token_bucket.py
@@ -17,7 +17,7 @@
         self._since_ms = now_ms
         return self.tokens
 
-    def take(self, per_ms: float, most: float, now_ms: float) -> bool:
+    def try_take(self, per_ms: float, most: float, now_ms: float) -> bool:
         """Take a token, if there is one."""
         if self.refill(per_ms, most, now_ms) < 1.0:
             return False
--- a/workspond/policy/weighted_round_robin.py
+++ b/workspond/policy/weighted_round_robin.py
@@ -37,9 +37,9 @@
         self.group, self.base, self.rotation = group, base, rotation
 
     @property
-    def credit(self) -> float:
+    def current_weight(self) -> float:
         """How far ahead its server is."""
-        return self.base + self.group.gained
+        return self.base + self.group.accumulated
 
     @property
     def load(self) -> float:
@@ -50,17 +50,17 @@
 class GainGroup:
     """Servers of one load and one gain, the one furthest ahead first."""
 
-    __slots__ = ("gain", "heap", "level", "members")
+    __slots__ = ("heap", "level", "members", "step")
 
     def __init__(self, level: Level, gain: float) -> None:
-        self.level, self.gain = level, gain
+        self.level, self.step = level, gain
         self.heap: list[tuple[float, int, RotationEntry]] = []  # some places may have been given up
         self.members = 0
 
     @property
-    def gained(self) -> float:
+    def accumulated(self) -> float:
         """What a member has gained since its base was taken."""
-        return self.gain * self.level.rounds
+        return self.step * self.level.rounds
 
     def leader(self) -> RotationEntry:
         """The place furthest ahead; there must be one."""
@@ -89,7 +89,7 @@
     def leader(self) -> RotationEntry:
         """The place that is furthest ahead once all have gained; there must be one."""
         leaders = [group.leader() for group in self.groups.values()]
-        return max(leaders, key=lambda place: place.credit + place.group.gain)
+        return max(leaders, key=lambda place: place.current_weight + place.group.step)
 
     def discount(self, weight: float) -> None:
         """Take the weight of a member that has gone from the sum."""
@@ -97,7 +97,7 @@
             self.weight -= weight
             return
         places = (entry[2] for group in self.groups.values() for entry in group.heap)
-        self.weight = sum(place.server.weight for place in places if place.server is not None)
+        self.weight = sum(place.server.effective_weight for place in places if place.server is not None)
 
 
 class Rotation:
@@ -110,7 +110,7 @@
         self.size = 0
 
     def __contains__(self, server: Server) -> bool:
-        return server.place is not None and server.place.rotation is self
+        return server.rotation_entry is not None and server.rotation_entry.rotation is self
 
     def add(self, server: Server, load: float) -> None:
         """Let a server take part, with the credit that it has."""
@@ -118,13 +118,13 @@
         if level is None:
             level = self._levels[load] = Level(load)
             self._note_load(load)
-        gain = rounded(server.weight)
+        gain = rounded(server.effective_weight)
         group = level.groups.get(gain)
         if group is None:
             group = level.groups[gain] = GainGroup(level, gain)
-        self._stand(server, group, server.credit - group.gained)
+        self._stand(server, group, server.current_weight - group.accumulated)
         group.members += 1
-        level.weight += server.weight
+        level.weight += server.effective_weight
         self.size += 1
 
     def _note_load(self, load: float) -> None:
@@ -136,24 +136,24 @@
             heapq.heappush(self._loads, load)
 
     def _stand(self, server: Server, group: GainGroup, base: float) -> None:
-        server.place = RotationEntry(server, group, base, self)
-        heapq.heappush(group.heap, (-base, next(self._serial), server.place))
+        server.rotation_entry = RotationEntry(server, group, base, self)
+        heapq.heappush(group.heap, (-base, next(self._serial), server.rotation_entry))
 
     def remove(self, server: Server) -> None:
         """Take a server out; it keeps its credit. It must be in."""
-        place = server.place
+        place = server.rotation_entry
         assert place is not None
         group, level = place.group, place.group.level
-        server.credit = place.credit
-        server.place, place.server = None, None
+        server.current_weight = place.current_weight
+        server.rotation_entry, place.server = None, None
         self.size -= 1
         group.members -= 1
         if group.members:
             group.clean()
         else:
-            del level.groups[group.gain]
+            del level.groups[group.step]
         if level.groups:
-            level.discount(server.weight)
+            level.discount(server.effective_weight)
         else:
             del self._levels[level.load]
 
@@ -167,16 +167,16 @@
 
     def charge(self, server: Server) -> float:
         """A round ends with this server picked: its level gains, it pays. The weight that took part."""
-        place = server.place
+        place = server.rotation_entry
         assert place is not None
         level = place.group.level
         level.rounds += 1
-        self.credit(server, -level.weight * place.group.gain / server.weight)
+        self.adjust(server, -level.weight * place.group.step / server.effective_weight)
         return level.weight
 
-    def credit(self, server: Server, credit: float) -> None:
+    def adjust(self, server: Server, credit: float) -> None:
         """Give credit to a server that is in, or take it."""
-        place = server.place
+        place = server.rotation_entry
         assert place is not None
         place.server = None
         self._stand(server, place.group, place.base + credit)
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -56,7 +56,7 @@
         "_ended",
         "_timer",
         "may_send",
-        "over",
+        "is_over",
         "overtime",
         "render",
         "unread",
@@ -65,7 +65,7 @@
 
     def __init__(self, render: Callable[[], bytes], may_send: Callable[[], bool], ended: Ended) -> None:
         self.render, self.may_send, self._ended = render, may_send, ended
-        self.written = self.over = False
+        self.written = self.is_over = False
         self.overtime = False  # its time was up with an answer unread
         self._timer: asyncio.TimerHandle | None = None
         self._cancel_io: Callable[[], object] | None = None
@@ -81,16 +81,16 @@
 
     def end(self, result: Outcome, answer: ServerResponse | None = None) -> None:
         """Report the outcome, unless one was reported before."""
-        if self.over:
+        if self.is_over:
             return
-        self.over, self._cancel_io = True, None
+        self.is_over, self._cancel_io = True, None
         if self._timer is not None:
             self._timer.cancel()
         self._ended(result, answer)
 
-    def break_off(self, result: Outcome) -> None:
+    def abort(self, result: Outcome) -> None:
         """Stop waiting: closing the connection is what tells the server."""
-        if not self.over:
+        if not self.is_over:
             cancel_io = self._cancel_io
             if cancel_io is not None:
                 cancel_io()
@@ -98,7 +98,7 @@
 
     def timed_out(self) -> None:
         # Not all of it written: the server can't have begun, as it waits for the last byte.
-        self.break_off(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
+        self.abort(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
 
 
 def read_report(text: bytes) -> dict[str, float] | None:
@@ -307,7 +307,7 @@
         self._dials: set[asyncio.Task[None]] = set()
         loop.call_later(SWEEP_S, self._sweep)
 
-    def count(self) -> int:
+    def connection_count(self) -> int:
         """Sockets in use, those that are being opened too."""
         return len(self._open) + len(self._dials)
 
@@ -379,7 +379,7 @@
                 self._open.add(connection)
                 kept = True
                 # Connecting took time: the request may have ended, its server may have been called off.
-                if not attempt.over and attempt.may_send():
+                if not attempt.is_over and attempt.may_send():
                     return connection.carry(attempt)
                 self.put_back(connection)
                 result = Outcome.NOT_SENT
--- a/workspond/upstream/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -38,21 +38,21 @@
 class AttemptHistory:
     """What has been written of one request, and what became of it."""
 
-    __slots__ = ("may_have_run", "out", "written")
+    __slots__ = ("in_flight", "may_have_run", "written")
 
     def __init__(self) -> None:
         self.written = 0  # attempts
-        self.out = 0  # of these, without an outcome
+        self.in_flight = 0  # of these, without an outcome
         self.may_have_run = False
 
-    def write(self) -> None:
+    def record_write(self) -> None:
         """An attempt is being written."""
         self.written += 1
-        self.out += 1
+        self.in_flight += 1
 
-    def end(self, ran: bool) -> None:
+    def record_end(self, ran: bool) -> None:
         """A written attempt has ended, and may have run or has not."""
-        self.out -= 1
+        self.in_flight -= 1
         self.may_have_run = self.may_have_run or ran
 
 
@@ -71,7 +71,7 @@
             return self._settings.rejected_may_have_run
         return result not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
-    def refusal(
+    def check(
         self,
         id: str,
         cls: str,
@@ -98,7 +98,7 @@
         return SendRefusal.WINDOW_OVER if now_ms() > latest_ms else None
 
     def _broken_rule(self, cls: str, attempts: AttemptHistory) -> SendRefusal | None:
-        if attempts.out and not self._settings.parallel_attempts:
+        if attempts.in_flight and not self._settings.parallel_attempts:
             return SendRefusal.OVERLAP
         if attempts.may_have_run and self._repeat[cls] is Idempotency.NON_IDEMPOTENT:
             return SendRefusal.UNSAFE_REPEAT
