--- a/soak/callers.py
+++ b/soak/callers.py
@@ -99,7 +99,7 @@
         while True:
             await asyncio.sleep(self._rng.expovariate(1.0 / gap_s))
             if reader.at_eof() or writer.is_closing():
-                return
+                return None
             id, kind, budget_s, data = self._request()
             writer.write(data)
             self._oracle.request_sent(id, kind.name, self._node.number, budget_s)
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -164,7 +164,7 @@
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 self.calls += 1
                 if not await self._answer(writer, head.split()[1]):
-                    return
+                    return None
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError, RuntimeError):
             pass  # the node or a fault has ended the connection; uvloop raises RuntimeError for a write then
         finally:
--- a/soak/run.py
+++ b/soak/run.py
@@ -290,7 +290,7 @@
 
     async def _shim_fault(self, fault: Fault, node: NodeProcess) -> None:
         if node.shim is None:
-            return
+            return None
         match fault.kind:
             case FaultKind.CLOCK_STEP:
                 sign = 1 if self._rng.random() < 0.5 else -1
--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any, cast
 
-from workspond.simulator_adapter import serve
 from tests.recorded_sessions import SESSIONS, Session
 from tests.wire_simulation import Simulation
+from workspond.simulator_adapter import serve
 
 
 def record(session: Session) -> list[str]:
--- a/tests/test_event_counts.py
+++ b/tests/test_event_counts.py
@@ -8,18 +8,18 @@
 import pytest
 
 from tests.peers import RESET, Server, run, world
-from workspond.observability.counters import Event, EventCounters
+from workspond.observability.counters import CountedEvent, EventCounters
 
 
 def test_a_line_tells_what_is_new_since_the_last() -> None:
     counts = EventCounters()
     assert counts.summary() == ""
-    counts.increment(Event.ATTEMPT, "SUCCESS")
-    counts.increment(Event.ATTEMPT, "SUCCESS")
-    counts.increment(Event.ANSWERED, "200")
-    assert counts.summary() == "answered[200]=1, attempt[SUCCESS]=2"
-    counts.increment(Event.ATTEMPT, "SUCCESS")
-    assert counts.summary() == "attempt[SUCCESS]=1" and counts.summary() == ""
+    counts.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
+    counts.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
+    counts.increment(CountedEvent.REQUEST_ANSWERED, "200")
+    assert counts.summary() == "attempt_ended[SUCCESS]=2, request_answered[200]=1"
+    counts.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
+    assert counts.summary() == "attempt_ended[SUCCESS]=1" and counts.summary() == ""
 
 
 def test_a_node_that_ends_tells_what_it_did(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
@@ -36,10 +36,10 @@
     run(test())
     [line] = [message for message in caplog.messages if message.startswith("counts: ")]
     for part in (
-        "answered[200]=1",
-        "answered[502]=1",
-        "attempt[RESET]=1",
-        "attempt[SUCCESS]=1",
-        "closed[rejected with 400]=1",
+        "request_answered[200]=1",
+        "request_answered[502]=1",
+        "attempt_ended[RESET]=1",
+        "attempt_ended[SUCCESS]=1",
+        "connection_closed[rejected with 400]=1",
     ):
         assert part in line
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -9,6 +9,8 @@
 import struct
 import threading
 import time
+from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, cast
 
@@ -22,7 +24,9 @@
 from workspond.policy.events import AttemptEnded, EndpointUpdate, Outcome, RequestReceived, UpdateKind
 from workspond.policy.settings import Idempotency, RequestClass, Settings
 from workspond.upstream import connection_pool as upstream
-from workspond.upstream.connection_pool import Connection, ConnectionPool, ServerResponse, read_report
+from workspond.upstream.attempt import ServerResponse
+from workspond.upstream.connection_pool import Connection, ConnectionPool
+from workspond.upstream.load_report import read_report
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
@@ -149,6 +153,24 @@
     run(test())
 
 
+@dataclass
+class PlainAttempt:
+    """An attempt with a given request; `on_end` hears of its outcome."""
+
+    data: bytes
+    on_end: Callable[[Outcome, ServerResponse | None], object]
+    permitted: Callable[[], bool] = lambda: True
+
+    def may_send(self) -> bool:
+        return self.permitted()
+
+    def render_request(self) -> bytes:
+        return self.data
+
+    def attempt_ended(self, outcome: Outcome, response: ServerResponse | None) -> None:
+        self.on_end(outcome, response)
+
+
 class Attempts:
     """Attempts on connections of their own, without a node."""
 
@@ -168,9 +190,8 @@
             self.results.append(result)
             self.answers.append(answer)
 
-        self.upstream.send(
-            1, self.address, lambda: request(id), 20_000.0, lambda: alive is None or alive[0], ended
-        )
+        attempt = PlainAttempt(request(id), ended, lambda: alive is None or alive[0])
+        self.upstream.send(1, self.address, attempt, 20_000.0)
 
     async def result(self, count: int) -> Outcome:
         await until(lambda: len(self.results) == count)
@@ -240,10 +261,8 @@
             attempts.upstream.send(
                 1,
                 attempts.address,
-                lambda: request("a"),
+                PlainAttempt(request("a"), lambda result, _: ended.set_result(result)),
                 timeout_s * 1000.0,
-                lambda: True,
-                lambda result, _: ended.set_result(result),
             )
             connection, _ = await asyncio.to_thread(listener.accept)
             connection.settimeout(LIMIT_S)
@@ -411,7 +430,7 @@
         server = Server()
         await server.start()
         attempts = Attempts(server.address)
-        attempts.upstream._room = lambda: 0
+        attempts.upstream._available_descriptors = lambda: 0
         attempts.send("a")
         assert await attempts.result(1) is Outcome.NOT_SENT and not server.connections
         await server.stop()
@@ -425,14 +444,8 @@
         await server.start()
         attempts = Attempts(server.address)
         for n in range(20):
-            attempt = attempts.upstream.send(
-                1,
-                attempts.address,
-                lambda: request("a"),
-                20_000.0,
-                lambda: True,
-                lambda result, answer: attempts.results.append(result),
-            )
+            plain = PlainAttempt(request("a"), lambda result, _: attempts.results.append(result))
+            attempt = attempts.upstream.send(1, attempts.address, plain, 20_000.0)
             for _ in range(n % 4):  # at each step of it
                 await asyncio.sleep(0)
             attempt.abort(Outcome.CANCELLED)
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from workspond.simulator_adapter import serve
 from tests.record_decisions import record
 from tests.recorded_sessions import SESSIONS, Session
+from workspond.simulator_adapter import serve
 
 RECORDINGS = Path(__file__).parent / "recordings"
 NAMES = [session.name for session in SESSIONS]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,6 @@
 from tests.test_node import Program
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
-from workspond.discovery.endpoint_list import EndpointList
 
 
 def write(scene: World, registry: Registry) -> None:
@@ -175,13 +174,13 @@
             async with world(tmp_path, server) as scene:
                 assert scene.node is not None
                 failed: list[str] = []
-                on_news = scene.node._discovery._news
+                on_failure = scene.node.watch_failed
 
-                def note(news: EndpointList | None, why: str) -> None:
-                    failed.append(why)
-                    on_news(news, why)
+                def note(reason: str) -> None:
+                    failed.append(reason)
+                    on_failure(reason)
 
-                scene.node._discovery._news = note
+                monkeypatch.setattr(scene.node, "watch_failed", note)
                 scene.node._discovery.change_address(hung.getsockname())
                 await until(lambda: sum("can't connect" in why for why in failed) >= 2)
                 assert (await scene.ask("a")).status == 200
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -17,7 +17,6 @@
 from workspond import node
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
-from workspond.discovery.endpoint_list import EndpointList
 from workspond.policy.subscription_backoff import ASK_LONGEST_MS
 
 TOLD_MS = 6000.0  # after discovery had it and could be reached, whatever became of calls
@@ -160,17 +159,16 @@
         async with agent([]) as source, world(tmp_path, Server(), membership_mode=mode) as scene:
             assert scene.node is not None
             held, failures, left = scene.node._discovery, list[str](), list(ways)
-            on_news = held._news
+            on_failure = held._listener.watch_failed
 
-            def note(news: EndpointList | None, why: str) -> None:
-                if news is None:
-                    failures.append(why)
-                    source.fall_to(left.pop(0) if left else None)
-                on_news(news, why)
+            def note(reason: str) -> None:
+                failures.append(reason)
+                source.fall_to(left.pop(0) if left else None)
+                on_failure(reason)
 
             held.change_address(("127.0.0.1", source.port))
             await until(lambda: source.calls == 2)  # the whole list, and a watch
-            held._news = note
+            monkeypatch.setattr(held._listener, "watch_failed", note)
             source._news.append(new.entry())  # discovery has it from here on
             source.end_calls()  # the watch that is out breaks: the first failure, before those named
             await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
--- a/workspond/__main__.py
+++ b/workspond/__main__.py
@@ -91,10 +91,10 @@
         if tries_left == RELOAD_TRIES:
             log.warning("trying again: %s", problem)
         asyncio.get_running_loop().call_later(RELOAD_EVERY_S, reload, node, path, tries_left - 1)
-        return
+        return None
     except InvalidConfigError as problem:
         log.error("the old configuration stays: %s", problem)
-        return
+        return None
     log.info("configuration read again, discovery at %s:%d", *config.discovery)
     node.reconfigure(config)
 
--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -18,13 +18,13 @@
 class AgentClientOwner(Protocol):
     """Whoever makes the calls."""
 
-    def answered(self, link: AgentClient, status: int, body: bytes) -> None:
+    def response_received(self, link: AgentClient, status: int, body: bytes) -> None:
         """A call has its whole answer; the next may be made."""
 
-    def failed(self, link: AgentClient, why: str) -> None:
+    def call_failed(self, link: AgentClient, why: str) -> None:
         """A call has failed; the next may be made."""
 
-    def late(self, link: AgentClient) -> None:
+    def call_overdue(self, link: AgentClient) -> None:
         """Nothing of an answer has come in the call's time; it may still come."""
 
 
@@ -106,17 +106,17 @@
         self._dial: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._began_s = self._heard_s = 0.0  # the call, and the last of its answer so far; 0.0: nothing
-        self.busy = False  # a call is out
-        self.late = False  # its time is over, and nothing of an answer has come
-        self.index = 0  # the version of the list as this agent told it last
+        self.is_busy = False  # a call is out
+        self.is_overdue = False  # its time is over, and nothing of an answer has come
+        self.last_index = 0  # the version of the list as this agent told it last
         # The next call asks for the whole list. The first does: versions need not be those that another agent
         # or an earlier process heard, and unlike a watch it is answered at once where nothing has changed.
-        self.whole = True
+        self.needs_complete_list = True
 
     def call(self, target: str, limit_s: float) -> None:
         """Make a call; its owner is told how it ends, and if its answer has not begun within `limit_s`."""
         request = f"GET {target} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n\r\n".encode()
-        self.busy, self.late = True, False
+        self.is_busy, self.is_overdue = True, False
         self._began_s, self._heard_s = self._loop.time(), 0.0
         # A cut link says nothing, not even on TCP: without this the call would wait for ever.
         self._timer = self._loop.call_later(limit_s, self._check_progress)
@@ -144,7 +144,7 @@
 
     def progressed(self, connection: _Connection) -> None:
         """More of an answer has come."""
-        if not self.busy:
+        if not self.is_busy:
             self.broken(connection, "an answer that nobody asked for")
         elif connection is self._connection:
             self._heard_s = self._loop.time()
@@ -154,9 +154,9 @@
         now_s = self._loop.time()
         if not self._heard_s:
             self._timer = self._loop.call_later(SILENCE_S, self._check_progress)
-            if not self.late:
-                self.late = True
-                self._owner.late(self)
+            if not self.is_overdue:
+                self.is_overdue = True
+                self._owner.call_overdue(self)
             return
         due_s = min(self._heard_s + SILENCE_S, self._began_s + LONGEST_ANSWER_S)
         if now_s < due_s:
@@ -166,28 +166,28 @@
 
     def complete(self, connection: _Connection, status: int, body: bytes) -> None:
         """A whole answer has come."""
-        if connection is not self._connection or not self.busy:
+        if connection is not self._connection or not self.is_busy:
             return self.broken(connection, "an answer that nobody asked for")
         self._end_call()
         if not connection.keep_alive:
             self._drop()
-        self._owner.answered(self, status, body)
+        self._owner.response_received(self, status, body)
 
     def broken(self, connection: _Connection, why: str) -> None:
         """A connection is of no further use; a failure if a call was out on it."""
         if connection is not self._connection:
             return
-        if self.busy:
+        if self.is_busy:
             self._fail(why)
         else:
             self._drop()
 
     def _fail(self, why: str) -> None:
         self.close()
-        self._owner.failed(self, why)
+        self._owner.call_failed(self, why)
 
     def _end_call(self) -> None:
-        self.busy = False
+        self.is_busy = False
         dial, self._dial = self._dial, None
         if dial is not None:
             dial.cancel()
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -10,7 +10,7 @@
 
 import asyncio
 import math
-from collections.abc import Callable
+from typing import Protocol
 
 from workspond.address import Address
 from workspond.clock import now_ms
@@ -45,16 +45,22 @@
     return FAILURES_BORNE * (call_ms + pause_ms) + CONNECT_S * 1000.0
 
 
+class EndpointListener(Protocol):
+    """Whoever wants the endpoint list."""
+
+    def endpoints_received(self, endpoints: EndpointList) -> None:
+        """Take a complete list, or the changes to the last one; they come in order."""
+
+    def watch_failed(self, reason: str) -> None:
+        """A call has failed; `EndpointWatcher.subscribe` makes the next one."""
+
+
 class EndpointWatcher:
-    """Keeps the list; `news` gets each part of it in order, or None when a call has failed."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        address: Address,
-        news: Callable[[EndpointList | None, str], None],
-    ) -> None:
-        self._loop, self._news = loop, news
+    """Keeps the list up to date; its listener gets each part of it in order, and hears of failed calls."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, listener: EndpointListener) -> None:
+        self._loop = loop
+        self._listener = listener
         self._reader = EndpointListReader()
         self._link = AgentClient(loop, address, self)
         self._earlier: list[AgentClient] = []  # overtaken, the oldest first
@@ -63,7 +69,7 @@
 
     def subscribe(self) -> None:
         """Watch from the list as held; nothing if a watch is on."""
-        if not self._link.busy and not self._closed:
+        if not self._link.is_busy and not self._closed:
             self._ask()
 
     def change_address(self, address: Address) -> None:
@@ -71,11 +77,11 @@
 
         Versions there need not be those of the old address, whose call counts as overtaken.
         """
-        if self._closed or (address == self._link.address and self._link.busy):
+        if self._closed or (address == self._link.address and self._link.is_busy):
             return
         if address != self._link.address:
             self._overtake()
-            returned = [link for link in self._earlier if link.address == address and not link.late]
+            returned = [link for link in self._earlier if link.address == address and not link.is_overdue]
             if returned:  # its call goes on
                 self._earlier.remove(returned[0])
                 self._link = returned[0]
@@ -92,7 +98,7 @@
     def _overtake(self) -> None:
         """Let the call that is out go on beside the next one, for a while."""
         link = self._link
-        if not link.busy:
+        if not link.is_busy:
             return link.close()
         if len(self._earlier) >= MOST_EARLIER:  # the newest goes: the oldest is the next to be answered
             self._earlier.pop().close()
@@ -111,18 +117,18 @@
 
     def _ask(self) -> None:
         link = self._link
-        query = "" if link.whole else f"?index={link.index}&wait={WATCH_MS}"
-        limit_ms = CALL_MS if link.whole else WATCH_MS + GRACE_MS
+        query = "" if link.needs_complete_list else f"?index={link.last_index}&wait={WATCH_MS}"
+        limit_ms = CALL_MS if link.needs_complete_list else WATCH_MS + GRACE_MS
         link.call(f"/api/targets{query}", limit_ms / 1000.0)
 
-    def failed(self, link: AgentClient, why: str) -> None:
+    def call_failed(self, link: AgentClient, why: str) -> None:
         """A call has failed: the node says when to make another."""
         if link is self._link:
-            self._news(None, why)
+            self._listener.watch_failed(why)
         else:
             self._forget(link)
 
-    def answered(self, link: AgentClient, status: int, body: bytes) -> None:
+    def response_received(self, link: AgentClient, status: int, body: bytes) -> None:
         """Take an answer, and ask for what comes next before it is worked through."""
         if status != 200:
             return self._unusable(link, f"status {status}")
@@ -133,10 +139,10 @@
         if link.address == self._link.address and (listing.complete or listing.endpoints):
             self._restore(link)  # what the other would have told comes by version
         current = link is self._link
-        if not listing.complete and (link.whole or listing.index < link.index):
-            link.whole = True  # changes to a list that we don't hold
+        if not listing.complete and (link.needs_complete_list or listing.index < link.last_index):
+            link.needs_complete_list = True  # changes to a list that we don't hold
             return self._ask() if current else self._forget(link)
-        link.index, link.whole = listing.index, False
+        link.last_index, link.needs_complete_list = listing.index, False
         listing.previous_response_at_ms, self._heard_ms = self._heard_ms, now_ms()
         if current:
             self._end_earlier()
@@ -146,10 +152,10 @@
             if (
                 listing.complete
             ):  # the changes that other watches would tell are to the list that this replaces
-                self._link.whole = True
+                self._link.needs_complete_list = True
                 self._end_watches()
         if listing.complete or listing.endpoints:
-            self._news(listing, "")
+            self._listener.endpoints_received(listing)
 
     def _restore(self, link: AgentClient) -> None:
         """Go on with a link whose answer has come, late or not, in place of the one that overtook it."""
@@ -158,18 +164,18 @@
             self._earlier.remove(link)
             self._link = link
 
-    def late(self, link: AgentClient) -> None:
+    def call_overdue(self, link: AgentClient) -> None:
         """A call's time is over: it goes on beside the next one, which the node says when to make."""
         if link is self._link:
             self._overtake()
             self._link = AgentClient(self._loop, link.address, self)
-            self._link.index, self._link.whole = link.index, link.whole
-            self._news(None, "no answer in time")
+            self._link.last_index, self._link.needs_complete_list = link.last_index, link.needs_complete_list
+            self._listener.watch_failed("no answer in time")
 
     def _end_watches(self) -> None:
-        for link in [link for link in self._earlier if not link.whole]:
+        for link in [link for link in self._earlier if not link.needs_complete_list]:
             self._forget(link)
 
     def _unusable(self, link: AgentClient, why: str) -> None:
         link.close()
-        self.failed(link, why)
+        self.call_failed(link, why)
--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -17,7 +17,7 @@
 from workspond.http.request import ClientRequest, InvalidRequestError
 from workspond.http.request_parser import ConnectionRejection, Item, RequestParser
 from workspond.http.response import Response, render
-from workspond.observability.counters import Event, EventCounters
+from workspond.observability.counters import CountedEvent, EventCounters
 from workspond.policy.settings import RequestClass
 
 MOST_QUEUED = 8  # messages read ahead of their turn; the rest waits unread, or read and not parsed
@@ -45,7 +45,7 @@
     """What a connection needs of the frontend."""
 
     classes: dict[str, RequestClass]
-    counts: EventCounters
+    counters: EventCounters
 
     def accept(self, message: ClientRequest, requester: ResponseReceiver) -> AcceptedRequest:
         """Have the node take a request; raises `Unacceptable`."""
@@ -192,14 +192,14 @@
 
     def _close(self, why: str) -> None:
         """Close it, with nothing on it."""
-        self._owner.counts.increment(Event.CLOSED, why)
+        self._owner.counters.increment(CountedEvent.CONNECTION_CLOSED, why)
         self._closing = True
         self._transport.close()
         self._settle()
 
     def abort(self, why: str) -> None:
         """End it at once, whatever is on it."""
-        self._owner.counts.increment(Event.CLOSED, why)
+        self._owner.counters.increment(CountedEvent.CONNECTION_CLOSED, why)
         self._ended = True
         self._owner.closed(self)  # now: its socket is as good as given back
         self._transport.abort()
@@ -217,10 +217,12 @@
 
     def _reject(self, rejection: ConnectionRejection) -> None:
         """Tell the error that ends the connection; all that came before it has its answer."""
-        self._owner.counts.increment(Event.CLOSED, f"rejected with {rejection.reply.status}")
+        self._owner.counters.increment(
+            CountedEvent.CONNECTION_CLOSED, f"rejected with {rejection.response.status}"
+        )
         self._closing = self._ended = True
         self._drop_queued()
-        self._transport.write(render(rejection.reply, close=True))
+        self._transport.write(render(rejection.response, close=True))
         self._close_in_order()
 
     # Requests and answers
--- a/workspond/downstream/frontend.py
+++ b/workspond/downstream/frontend.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import itertools
-from collections.abc import Callable
+from typing import Protocol
 
 from workspond.address import Address
 from workspond.downstream.client_connection import AcceptedRequest, ClientConnection, ResponseReceiver
@@ -19,7 +19,15 @@
 MOST_POLLED = 32  # connections asked whether they can go, for each new one
 READY_PATH = b"/-/ready"
 
-Accept = Callable[[ClientRequest, ResponseReceiver], AcceptedRequest]
+
+class RequestHandler(Protocol):
+    """Whoever serves the requests that come in."""
+
+    def accept(self, request: ClientRequest, receiver: ResponseReceiver) -> AcceptedRequest:
+        """Take a request, whose receiver is owed one response; raises `InvalidRequestError`."""
+
+    def is_ready(self) -> bool:
+        """Whether requests can be served."""
 
 
 class Frontend:
@@ -28,14 +36,15 @@
     def __init__(
         self,
         classes: dict[str, RequestClass],
-        accept: Accept,
-        ready: Callable[[], bool],
-        most: int,
-        counts: EventCounters,
+        handler: RequestHandler,
+        max_connections: int,
+        counters: EventCounters,
     ) -> None:
-        """`most`: callers' connections that may be open at once."""
-        self.classes, self.counts = classes, counts
-        self._accept, self._ready, self._most = accept, ready, most
+        """`max_connections` of clients may be open at once."""
+        self.classes = classes
+        self.counters = counters
+        self._handler = handler
+        self._max_connections = max_connections
         self.connections: ConnectionTable[ClientConnection] = ConnectionTable()
         self._listener: Listener | None = None
         self._loop: asyncio.AbstractEventLoop
@@ -56,14 +65,18 @@
 
     def accept(self, message: ClientRequest, requester: ResponseReceiver) -> AcceptedRequest:
         """Have the node take a request."""
-        return self._accept(message, requester)
+        return self._handler.accept(message, requester)
 
     def own_path(self, path: bytes) -> Response:
         """Answer for the node itself."""
         if path != READY_PATH:
             return Response(404, b"no such path")
         # Not 503, which would be a refusal: this answers no request, but whoever asks may not know.
-        return Response(200, b"ready") if self._ready() and not self._leaving else Response(500, b"not ready")
+        return (
+            Response(200, b"ready")
+            if self._handler.is_ready() and not self._leaving
+            else Response(500, b"not ready")
+        )
 
     def opened(self, connection: ClientConnection) -> None:
         """Count a caller in; at the most there may be, one that is owed nothing goes for it.
@@ -73,7 +86,7 @@
         self.connections.enter(connection, ConnectionState.NEW, self._loop.time())
         if self._closing:
             connection.drain()
-        elif len(self.connections) > self._most:
+        elif len(self.connections) > self._max_connections:
             candidates = itertools.islice(self.connections.expendable(), MOST_POLLED)
             others = (
                 other for other in candidates if other is not connection and not other.has_unread_data()
--- a/workspond/downstream/listener.py
+++ b/workspond/downstream/listener.py
@@ -58,7 +58,7 @@
             try:
                 connection, _ = self._socket.accept()
             except BlockingIOError:
-                return
+                return None
             except OSError as problem:
                 if problem.errno in SHORTAGES:
                     return self._pause(problem)
--- a/workspond/http/request_parser.py
+++ b/workspond/http/request_parser.py
@@ -23,7 +23,7 @@
 class ConnectionRejection:
     """The end of what can be read on a connection, and the error that its caller is told."""
 
-    reply: Response
+    response: Response
 
 
 Item = (
@@ -120,7 +120,7 @@
 
     def on_message_complete(self) -> None:
         if self.finished:
-            return
+            return None
         self.partial, self._completed = False, True
         try:
             self._items.append(self._message())
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -23,7 +23,7 @@
 from workspond.downstream.frontend import Frontend
 from workspond.http.request import ClientRequest, InvalidRequestError
 from workspond.http.response import Response
-from workspond.observability.counters import Event, EventCounters
+from workspond.observability.counters import CountedEvent, EventCounters
 from workspond.policy.actions import (
     CancelAttempt,
     CloseIdleConnections,
@@ -49,7 +49,8 @@
     UpdateKind,
 )
 from workspond.policy.token_bucket import TokenBucket
-from workspond.upstream.connection_pool import Attempt, ConnectionPool, ServerResponse
+from workspond.upstream.attempt import Attempt, ServerResponse
+from workspond.upstream.connection_pool import ConnectionPool
 from workspond.upstream.send_guard import AttemptHistory, SendGuard, SendRefusal
 
 MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
@@ -75,22 +76,22 @@
         "_node",
         "attempts",
         "received_at_ms",
-        "deadline_ms",
+        "deadline_at_ms",
         "deadline_timer",
-        "id",
-        "message",
+        "key",
+        "request",
         "outcomes",
-        "requester",
-        "sent",
+        "receiver",
+        "history",
     )
 
     def __init__(
         self, node: Node, id: str, message: ClientRequest, requester: ResponseReceiver, deadline_ms: float
     ) -> None:
-        self._node, self.id, self.message, self.requester = node, id, message, requester
-        self.received_at_ms, self.deadline_ms = message.received_at_ms, deadline_ms
+        self._node, self.key, self.request, self.receiver = node, id, message, requester
+        self.received_at_ms, self.deadline_at_ms = message.received_at_ms, deadline_ms
         self.attempts = 0  # begun so far
-        self.sent = AttemptHistory()
+        self.history = AttemptHistory()
         self.outcomes: list[str] = []  # how each of them ended, for the log
         self.deadline_timer: asyncio.TimerHandle | None = None
 
@@ -118,6 +119,56 @@
     return b"".join((*parts, b"\r\n", message.body))
 
 
+class OutgoingAttempt:
+    """One attempt of a request: what the connection pool has to ask and to tell while it makes it."""
+
+    __slots__ = (
+        "_node",
+        "address",
+        "number",
+        "request",
+        "send_until_ms",
+        "server_id",
+        "started_at_ms",
+        "timeout_at_ms",
+        "written",
+    )
+
+    def __init__(
+        self,
+        node: Node,
+        request: ActiveRequest,
+        server_id: int,
+        address: Address,
+        started_at_ms: float,
+        timeout_at_ms: float,
+        send_until_ms: float,
+    ) -> None:
+        self._node = node
+        self.request = request
+        self.number = request.attempts
+        self.server_id = server_id
+        self.address = address
+        self.started_at_ms = started_at_ms
+        self.timeout_at_ms = timeout_at_ms
+        self.send_until_ms = send_until_ms
+        self.written = False
+
+    def may_send(self) -> bool:
+        """Whether the request may still be written."""
+        return self._node.may_send(self)
+
+    def render_request(self) -> bytes:
+        """The request's bytes, with the time that is left now."""
+        self.written = True
+        self.request.history.record_write()
+        return request_bytes(self.request.request, self.address, max(0.0, self.timeout_at_ms - now_ms()))
+
+    def attempt_ended(self, outcome: Outcome, response: ServerResponse | None) -> None:
+        """Tell the node how the attempt ended."""
+        self._node.attempt_ended(self, outcome, response)
+
+
 def usable_descriptors(configured: int) -> int:
     """How many descriptors the process may hold: the least of what is configured and the system's limit."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -143,17 +194,16 @@
         self._addresses: dict[int, Address] = {}
         self._in_service: set[int] = set()
         self._starts = IncarnationTracker()
-        self.counts = EventCounters()
+        self.counters = EventCounters()
         self._guard = SendGuard(settings, self._in_service, self._addresses)
         self._upstream = ConnectionPool(loop, settings.connect_timeout_ms, settings.keepalive_ms, self._room)
-        self._discovery = EndpointWatcher(loop, config.discovery, self._on_news)
-        self._asked = False  # the first call to discovery has ended
+        self._discovery = EndpointWatcher(loop, config.discovery, self)
+        self._discovery_answered = False  # or its first call has failed
         self.frontend = Frontend(
             self._balancer.classes,
-            self.accept,
-            lambda: bool(self._in_service),
+            self,
             int(CALLERS_SHARE * self._descriptors),
-            self.counts,
+            self.counters,
         )
         self._traces = TokenBucket(TRACES_PER_S, now_ms())
         self._longest_ms = min(LONGEST_MS, max(cls.deadline_ms for cls in settings.classes))
@@ -161,7 +211,7 @@
 
     def start(self) -> None:
         """Let the module begin, and ask for the list: the node is ready once that call has ended."""
-        self.counts.start_periodic_report(self._loop)
+        self.counters.start_periodic_report(self._loop)
         self._handle(NodeStarted())
         if not self._config.settings.requires_subscription:
             self._discovery.subscribe()
@@ -190,8 +240,8 @@
         grace_ms = KILL_MS - STOP_MARGIN_MS + self._longest_ms
         asked_ms, self._stop_ms = now_ms(), now_ms() + grace_ms
         for live in self._live.values():  # that kill comes first
-            if live.deadline_ms > self._stop_ms:
-                live.deadline_ms = self._stop_ms
+            if live.deadline_at_ms > self._stop_ms:
+                live.deadline_at_ms = self._stop_ms
                 self._set_deadline_timer(live)
         self.frontend.fail_ready_checks()
         await asyncio.sleep(accept_s)
@@ -209,7 +259,7 @@
         except TimeoutError:
             self.frontend.abort()  # all is answered by now; what is left does not read
         self._discovery.close()
-        self.counts.log_summary()
+        self.counters.log_summary()
 
     def _room(self) -> int:
         return (
@@ -219,6 +269,10 @@
             - self._upstream.connection_count()
         )
 
+    def is_ready(self) -> bool:
+        """Whether there is a server to send requests to."""
+        return bool(self._in_service)
+
     # Requests
 
     def accept(self, message: ClientRequest, requester: ResponseReceiver) -> ActiveRequest:
@@ -233,7 +287,7 @@
         self._live[id] = live
         self._open_ids.add(message.request_id)
         self._set_deadline_timer(live)
-        ttl_ms = max(0.0, live.deadline_ms - now - MARGIN_MS)
+        ttl_ms = max(0.0, live.deadline_at_ms - now - MARGIN_MS)
         self._handle(RequestReceived(id, message.class_name, ttl_ms, message.tenant, message.is_client_retry))
         return live
 
@@ -241,21 +295,21 @@
         """Set the timer that fails the request to its deadline, as it is now."""
         if live.deadline_timer is not None:
             live.deadline_timer.cancel()
-        left_s = max(0.0, live.deadline_ms - now_ms()) / 1000.0
+        left_s = max(0.0, live.deadline_at_ms - now_ms()) / 1000.0
         live.deadline_timer = self._loop.call_later(left_s, self._overdue, live)
 
     def abandon(self, live: ActiveRequest, why: str = "left by its caller") -> None:
         """Nobody waits any more."""
         if self._drop(live):
-            self.counts.increment(Event.ABANDONED, why)
+            self.counters.increment(CountedEvent.REQUEST_ABANDONED, why)
             self._trace(live, why)
-            self._handle(RequestAbandoned(live.id))
+            self._handle(RequestAbandoned(live.key))
 
     def _drop(self, live: ActiveRequest) -> bool:
         """Forget a request, if it is still owed: whoever gets True has its one answer to give."""
-        if self._live.pop(live.id, None) is None:
+        if self._live.pop(live.key, None) is None:
             return False
-        self._open_ids.discard(live.message.request_id)
+        self._open_ids.discard(live.request.request_id)
         if live.deadline_timer is not None:
             live.deadline_timer.cancel()
         return True
@@ -263,14 +317,14 @@
     def _finish(self, id: str, reply: Response) -> None:
         live = self._live.get(id)
         if live is not None and self._drop(live):
-            self.counts.increment(Event.ANSWERED, str(reply.status))
+            self.counters.increment(CountedEvent.REQUEST_ANSWERED, str(reply.status))
             if reply.status != 200:
                 self._trace(live, f"answered {reply.status}")
-            live.requester.send_response(reply)
+            live.receiver.send_response(reply)
 
     def _trace(self, live: ActiveRequest, end: str) -> None:
         """Log a request that ended badly, from its arrival on, with every attempt."""
-        now, message = now_ms(), live.message
+        now, message = now_ms(), live.request
         if self._traces.try_take(TRACES_PER_S / 1000.0, TRACES_PER_S, now):
             log.info(
                 "request %s %s %s after %.1f of %.1f ms: %s%s",
@@ -285,15 +339,15 @@
 
     def _overdue(self, live: ActiveRequest) -> None:
         """Fail a request that the module has not ended by its deadline, whatever the reason."""
-        left_ms = live.deadline_ms - now_ms()
+        left_ms = live.deadline_at_ms - now_ms()
         if left_ms > 0.0:  # the loop's clock may run ahead: failing early would be a broken promise
             live.deadline_timer = self._loop.call_later(left_ms / 1000.0 + 0.001, self._overdue, live)
         elif self._drop(live):
-            log.warning("request %s was not ended by its deadline", live.message.request_id)
-            self.counts.increment(Event.ANSWERED, "504")
+            log.warning("request %s was not ended by its deadline", live.request.request_id)
+            self.counters.increment(CountedEvent.REQUEST_ANSWERED, "504")
             self._trace(live, "answered 504")
-            live.requester.send_response(Response(504, b"no answer in time"))
-            self._handle(RequestAbandoned(live.id))
+            live.receiver.send_response(Response(504, b"no answer in time"))
+            self._handle(RequestAbandoned(live.key))
 
     # The module
 
@@ -339,86 +393,91 @@
     # Attempts
 
     def _send(self, action: SendAttempt) -> None:
-        live, server, sent_at_ms = self._live.get(action.request_id), action.server_id, now_ms()
-        address, latest_ms = self._addresses.get(server), sent_at_ms + action.send_within_ms
-        refusal = self._refusal(live, server, address, latest_ms)
+        live, server_id, now = self._live.get(action.request_id), action.server_id, now_ms()
+        address, send_until_ms = self._addresses.get(server_id), now + action.send_within_ms
+        refusal = self._refusal(live, server_id, address, send_until_ms)
         if live is None or address is None or refusal is not None:
             number = live.attempts if live is not None else 0
             request_finished = action.request_id not in self._live
-            return self._handle(
-                AttemptEnded(action.request_id, number, server, Outcome.NOT_SENT, 0.0, request_finished)
-            )
-        number = live.attempts
-        live.attempts += 1
-        # Cut to what is left: an outcome must come before the answer is due.
-        timeout_ms = max(0.0, min(action.timeout_ms, live.deadline_ms - MARGIN_MS - sent_at_ms))
-        due_ms = sent_at_ms + timeout_ms
-        written = False
-
-        def may_send() -> bool:
-            return self._refusal(live, server, address, latest_ms) is None
-
-        def render() -> bytes:
-            nonlocal written
-            written = True
-            live.sent.record_write()
-            return request_bytes(live.message, address, max(0.0, due_ms - now_ms()))
-
-        def ended(result: Outcome, answer: ServerResponse | None) -> None:
-            self._attempts.pop((action.request_id, number), None)
-            if written:
-                live.sent.record_end(self._guard.may_have_run(result))
-            self.counts.increment(Event.ATTEMPT, result.name)
-            took_ms = now_ms() - sent_at_ms
-            began_ms = sent_at_ms - live.received_at_ms
-            live.outcomes.append(
-                f"{result.name} at {address[0]}:{address[1]} from {began_ms:.1f} for {took_ms:.1f}"
-            )
-            if result is Outcome.SUCCESS and answer is not None:
-                self._finish(action.request_id, Response(200, answer.body, answer.content_type))
-            request_finished = action.request_id not in self._live
-            report = answer.load_report if answer is not None else None
             self._handle(
-                AttemptEnded(action.request_id, number, server, result, took_ms, request_finished, report)
+                AttemptEnded(action.request_id, number, server_id, Outcome.NOT_SENT, 0.0, request_finished)
             )
-
+            return
+        # Cut to what is left: an outcome must come before the answer is due.
+        timeout_ms = max(0.0, min(action.timeout_ms, live.deadline_at_ms - MARGIN_MS - now))
+        outgoing = OutgoingAttempt(self, live, server_id, address, now, now + timeout_ms, send_until_ms)
+        live.attempts += 1
         attempt = self._upstream.send(
-            server, address, render, timeout_ms, may_send, ended, action.new_connection
+            server_id, address, outgoing, timeout_ms, new_connection=action.new_connection
         )
         if not attempt.is_over:
-            self._attempts[action.request_id, number] = attempt
+            self._attempts[action.request_id, outgoing.number] = attempt
+
+    def may_send(self, outgoing: OutgoingAttempt) -> bool:
+        """Whether an attempt may still be written, now that its connection has come up."""
+        refusal = self._refusal(
+            outgoing.request, outgoing.server_id, outgoing.address, outgoing.send_until_ms
+        )
+        return refusal is None
+
+    def attempt_ended(
+        self, outgoing: OutgoingAttempt, result: Outcome, answer: ServerResponse | None
+    ) -> None:
+        """Take the outcome of an attempt, and answer its request if it was served."""
+        live = outgoing.request
+        self._attempts.pop((live.key, outgoing.number), None)
+        if outgoing.written:
+            live.history.record_end(self._guard.may_have_run(result))
+        self.counters.increment(CountedEvent.ATTEMPT_ENDED, result.name)
+        took_ms = now_ms() - outgoing.started_at_ms
+        began_ms = outgoing.started_at_ms - live.received_at_ms
+        host, port = outgoing.address
+        live.outcomes.append(f"{result.name} at {host}:{port} from {began_ms:.1f} for {took_ms:.1f}")
+        if result is Outcome.SUCCESS and answer is not None:
+            self._finish(live.key, Response(200, answer.body, answer.content_type))
+        request_finished = live.key not in self._live
+        report = answer.load_report if answer is not None else None
+        self._handle(
+            AttemptEnded(
+                live.key, outgoing.number, outgoing.server_id, result, took_ms, request_finished, report
+            )
+        )
 
     def _refusal(
         self, live: ActiveRequest | None, server: int, address: Address | None, latest_ms: float
     ) -> SendRefusal | None:
         """Why an attempt must not be written now; asked when it is decided, and when a dial has ended."""
-        if live is None or live.id not in self._live:
+        if live is None or live.key not in self._live:
             return SendRefusal.ANSWERED
-        if live.requester.has_disconnected():
+        if live.receiver.has_disconnected():
             self.abandon(live)
             return SendRefusal.CALLER_GONE
-        message = live.message
+        message = live.request
         reason = self._guard.check(
-            message.request_id, message.class_name, live.sent, server, address, latest_ms
+            message.request_id, message.class_name, live.history, server, address, latest_ms
         )
         if reason is not None:
-            self.counts.increment(Event.HELD_BACK, reason.value)
+            self.counters.increment(CountedEvent.ATTEMPT_BLOCKED, reason.value)
             live.outcomes.append(f"held back: {reason.value}")
         return reason
 
     # Discovery
 
-    def _on_news(self, listing: EndpointList | None, why: str) -> None:
-        first, self._asked = not self._asked, True
-        if listing is None and first:
+    def endpoints_received(self, endpoints: EndpointList) -> None:
+        """Take what discovery has answered."""
+        self._discovery_answered = True
+        kind = UpdateKind.COMPLETE if endpoints.complete else UpdateKind.INCREMENTAL
+        self._take_listing(endpoints, kind)
+
+    def watch_failed(self, reason: str) -> None:
+        """A call to discovery has failed: have the next one made when it is due."""
+        if not self._discovery_answered:
+            self._discovery_answered = True
             # What the agent holds counts as told from the process's first moment, so the list that this node
             # last had, perhaps long ago, is for when there is no other.
             self._take_listing(self._config.cached_endpoints, UpdateKind.CACHED)
-        if listing is not None:
-            self._take_listing(listing, UpdateKind.COMPLETE if listing.complete else UpdateKind.INCREMENTAL)
-            return
-        self.counts.increment(Event.DISCOVERY, why.partition(":")[0])
-        log.info("discovery: %s", why)
+        self.counters.increment(CountedEvent.DISCOVERY_FAILED, reason.partition(":")[0])
+        log.info("discovery: %s", reason)
         if self._config.settings.requires_subscription:
             self._handle(EndpointUpdate(UpdateKind.FAILED))
         else:
--- a/workspond/observability/counters.py
+++ b/workspond/observability/counters.py
@@ -15,25 +15,25 @@
 log = logging.getLogger("workspond")
 
 
-class Event(Enum):
+class CountedEvent(Enum):
     """What is counted, each with a reason."""
 
-    CLOSED = "closed"  # a caller's connection, by the node
-    ANSWERED = "answered"  # a request, by status
-    ABANDONED = "abandoned"  # a request
-    ATTEMPT = "attempt"  # by outcome
-    HELD_BACK = "held_back"  # an attempt that was not written
-    DISCOVERY = "discovery"  # a call that failed
+    CONNECTION_CLOSED = "connection_closed"  # a caller's connection, by the node
+    REQUEST_ANSWERED = "request_answered"  # a request, by status
+    REQUEST_ABANDONED = "request_abandoned"  # a request
+    ATTEMPT_ENDED = "attempt_ended"  # by outcome
+    ATTEMPT_BLOCKED = "attempt_blocked"  # an attempt that was not written
+    DISCOVERY_FAILED = "discovery_failed"  # a call that failed
 
 
 class EventCounters:
     """How often each event happened for each reason."""
 
     def __init__(self) -> None:
-        self.total: Counter[tuple[Event, str]] = Counter()
-        self._reported: Counter[tuple[Event, str]] = Counter()
+        self.total: Counter[tuple[CountedEvent, str]] = Counter()
+        self._reported: Counter[tuple[CountedEvent, str]] = Counter()
 
-    def increment(self, event: Event, reason: str) -> None:
+    def increment(self, event: CountedEvent, reason: str) -> None:
         """Count one event."""
         self.total[event, reason] += 1
 
@@ -61,6 +61,6 @@
         self.start_periodic_report(loop)
 
 
-def _name(item: tuple[tuple[Event, str], int]) -> tuple[str, str]:
+def _name(item: tuple[tuple[CountedEvent, str], int]) -> tuple[str, str]:
     (event, reason), _ = item
     return event.value, reason
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -283,7 +283,7 @@
             return
         if event.load_report:
             server.reported_queue, server.reported_at_ms = event.load_report.get("queue", 0.0), now_ms
-        self._ejection.record_outcome(server, event.outcome, self._selector.ejected_share(now_ms), now_ms)
+        self._ejection.record_outcome(server, event.outcome, self._selector.ejected_fraction(now_ms), now_ms)
         self._measure(server, *sent, event, now_ms)
         self._selector.update(server, now_ms)
 
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -147,7 +147,7 @@
         self.refresh_due(now_ms)
         return self._lost_calls
 
-    def ejected_share(self, now_ms: float) -> float:
+    def ejected_fraction(self, now_ms: float) -> float:
         """The share of this copy's servers that are ejected."""
         self.refresh_due(now_ms)
         return self._ejected_count / (self._fleet.ready_count or 1)
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -9,10 +9,8 @@
 import asyncio
 import errno
 import logging
-import math
 import select
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import cast
 
 import httptools
@@ -21,8 +19,9 @@
 from workspond.clock import now_ms
 from workspond.http.limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from workspond.policy.events import Outcome
+from workspond.upstream.attempt import Attempt, AttemptHandler, ServerResponse
+from workspond.upstream.load_report import read_report
 
-MOST_REPORTED = 1e6  # of any figure in a load report
 IDLE_SHARE = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
 # What a dial fails with for want of something here, whatever the server does.
 OWN_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
@@ -35,87 +34,6 @@
 log = logging.getLogger("workspond")
 
 
-@dataclass(slots=True)
-class ServerResponse:
-    """What a server answered."""
-
-    status: int
-    body: bytes
-    content_type: bytes | None
-    load_report: dict[str, float] | None
-
-
-Ended = Callable[[Outcome, ServerResponse | None], None]
-
-
-class Attempt:
-    """One copy of a request on its way to one server; reports its outcome exactly once."""
-
-    __slots__ = (
-        "_cancel_io",
-        "_ended",
-        "_timer",
-        "may_send",
-        "is_over",
-        "overtime",
-        "render",
-        "unread",
-        "written",
-    )
-
-    def __init__(self, render: Callable[[], bytes], may_send: Callable[[], bool], ended: Ended) -> None:
-        self.render, self.may_send, self._ended = render, may_send, ended
-        self.written = self.is_over = False
-        self.overtime = False  # its time was up with an answer unread
-        self._timer: asyncio.TimerHandle | None = None
-        self._cancel_io: Callable[[], object] | None = None
-        # Whether something of an answer waits to be read; nothing does while there is no connection.
-        self.unread: Callable[[], bool] = lambda: False
-
-    def set_timer(self, timer: asyncio.TimerHandle) -> None:
-        self._timer = timer
-
-    def carried_by(self, cancel_io: Callable[[], object]) -> None:
-        """Note what stops the attempt where it is: its dial, or its connection."""
-        self._cancel_io = cancel_io
-
-    def end(self, result: Outcome, answer: ServerResponse | None = None) -> None:
-        """Report the outcome, unless one was reported before."""
-        if self.is_over:
-            return
-        self.is_over, self._cancel_io = True, None
-        if self._timer is not None:
-            self._timer.cancel()
-        self._ended(result, answer)
-
-    def abort(self, result: Outcome) -> None:
-        """Stop waiting: closing the connection is what tells the server."""
-        if not self.is_over:
-            cancel_io = self._cancel_io
-            if cancel_io is not None:
-                cancel_io()
-            self.end(result)
-
-    def timed_out(self) -> None:
-        # Not all of it written: the server can't have begun, as it waits for the last byte.
-        self.abort(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
-
-
-def read_report(text: bytes) -> dict[str, float] | None:
-    """A load report; one that can't be read counts as none, negative values (they are noisy) as 0.
-
-    Huge ones are cut: the module takes powers of them, and an overflow would stop every pick.
-    """
-    try:
-        pairs = [part.split("=") for part in text.decode("ascii").split(",")]
-        report = {name.strip(): float(value) for name, value in pairs}
-    except ValueError:
-        return None
-    if not all(map(math.isfinite, report.values())):
-        return None
-    return {name: min(max(0.0, value), MOST_REPORTED) for name, value in report.items()}
-
-
 class Connection(asyncio.Protocol):
     """A connection to a server, which carries one attempt at a time."""
 
@@ -217,7 +135,7 @@
         self._start_answer()
         attempt.carried_by(self.close)
         attempt.unread = self.unread
-        self._transport.write(attempt.render())
+        self._transport.write(attempt.handler.render_request())
         if self._transport.is_closing():  # the write itself failed
             self._end(Outcome.CONNECT_FAILED, reuse=False)
         else:
@@ -297,9 +215,9 @@
         loop: asyncio.AbstractEventLoop,
         connect_timeout_ms: float,
         keepalive_ms: float,
-        room: Callable[[], int],
+        available_descriptors: Callable[[], int],
     ) -> None:
-        self._loop, self._room = loop, room
+        self._loop, self._available_descriptors = loop, available_descriptors
         self._connect_timeout_s = connect_timeout_ms / 1000.0
         self._idle_limit_ms = keepalive_ms * IDLE_SHARE
         self._idle: dict[int, list[Connection]] = {}
@@ -313,32 +231,32 @@
 
     def send(
         self,
-        server: int,
+        server_id: int,
         address: Address,
-        render: Callable[[], bytes],
+        handler: AttemptHandler,
         timeout_ms: float,
-        may_send: Callable[[], bool],
-        ended: Ended,
-        fresh: bool = False,
+        *,
+        new_connection: bool = False,
     ) -> Attempt:
-        """Start an attempt, on a new connection if `fresh`; `ended` may be called before this returns.
+        """Start an attempt; its handler may be told of its end before this returns.
 
-        `render` gives the request's bytes when they are written: a dial may take most of the time there is.
+        With `new_connection` it gets a connection of its own. The handler renders the request when it is written,
+        as connecting may take most of the time there is.
         """
-        attempt = Attempt(render, may_send, ended)
+        attempt = Attempt(handler)
         self._set_timeout(max(0.0, timeout_ms) / 1000.0, attempt)
-        idle = self._idle.get(server, [])
-        if fresh and idle:
+        idle = self._idle.get(server_id, [])
+        if new_connection and idle:
             idle[0].close()  # the new one takes its place, or they would add up
-        connection = None if fresh else self._take_idle(server, address)
+        connection = None if new_connection else self._take_idle(server_id, address)
         if connection is not None:
             connection.carry(attempt)
             return attempt
-        if self._room() <= 0 and not self.close_oldest_idle():
+        if self._available_descriptors() <= 0 and not self.close_oldest_idle():
             # Our own shortage: it never ran, and says nothing about the server.
             attempt.end(Outcome.NOT_SENT)
             return attempt
-        dial = self._loop.create_task(self._dial(attempt, server, address))
+        dial = self._loop.create_task(self._dial(attempt, server_id, address))
         self._dials.add(dial)
         dial.add_done_callback(self._dials.discard)
         attempt.carried_by(dial.cancel)
@@ -379,7 +297,7 @@
                 self._open.add(connection)
                 kept = True
                 # Connecting took time: the request may have ended, its server may have been called off.
-                if not attempt.is_over and attempt.may_send():
+                if not attempt.is_over and attempt.handler.may_send():
                     return connection.carry(attempt)
                 self.put_back(connection)
                 result = Outcome.NOT_SENT
