--- a/tests/test_slow_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -95,7 +95,7 @@
             await until(lambda: scene.registry.watches() > 0)
             assert scene.node is not None
             source.whole = [server.entry(name=f"s{n}" + "x" * 200) for n in range(50)]
-            monkeypatch.setattr("tests.test_slow_lists.PIECES", 1000)
+            monkeypatch.setattr("tests.test_slow_endpoint_lists.PIECES", 1000)
             host, _, port = source.address.rpartition(":")
             scene.node._discovery.change_address((host, int(port)))
             await until(lambda: source.connections == 2)
