--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -122,7 +122,7 @@
 
 
 def test_what_is_remembered_of_servers_that_left_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("workspond.discovery.incarnations.MOST_REMEMBERED", 3)
+    monkeypatch.setattr("workspond.discovery.incarnations.MAX_REMOVED_SERVERS", 3)
     starts = IncarnationTracker()
     for n in range(10):
         entry = {"name": f"s{n}", "address": "127.0.0.1:1", "status": "active", "since_ms": 1000.0}
@@ -130,4 +130,4 @@
             read_endpoint_list({"index": n, "snapshot": False, "endpoints": [entry]}), TOLD_MS
         )
         starts.forget(server_id(f"s{n}"))
-    assert len(starts._left) == 3 and not starts._listed
+    assert len(starts._removed) == 3 and not starts._listed
--- a/workspond/discovery/incarnations.py
+++ b/workspond/discovery/incarnations.py
@@ -1,7 +1,12 @@
-"""When servers started, on the node's own clock.
+"""When the processes of servers started, on the node's own clock.
 
-Discovery tells a start as Unix time. The node's wall clock may be wrong, and it may be stepped while the
-process runs; so a start is recognised by a change of what discovery tells, and the wall clock is read once.
+An incarnation is one run of a server's process. Discovery tells incarnations apart by the time when the
+process started, as Unix time.
+
+The node's wall clock may be wrong, and it may be stepped while the node runs. So a new incarnation is
+recognised by a change of the start time that discovery reports, never by comparison with the wall clock. The
+wall clock is read only once, to convert Unix time to the node's monotonic clock: a later step then moves no
+start time.
 """
 
 from __future__ import annotations
@@ -12,51 +17,68 @@
 from workspond.clock import now_ms
 from workspond.discovery.endpoint_list import EndpointList
 
-MOST_REMEMBERED = 4096  # servers that left the list: one that returns unchanged has not started anew
+# How many removed servers are remembered: one that returns with the same start time has not been restarted.
+MAX_REMOVED_SERVERS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """A server's last start."""
+    """One run of a server's process.
+
+    Attributes:
+        reported_start_ms: The start as discovery reports it: Unix time in ms, 0 or less for long ago.
+        started_at_ms: The start on the node's clock; None for long ago.
+    """
 
-    since_ms: float  # as discovery tells it: Unix time in ms, 0 or less for long ago
-    started_at_ms: float | None  # on the node's clock; None for long ago
+    reported_start_ms: float
+    started_at_ms: float | None
 
 
 class IncarnationTracker:
-    """The starts of all servers that are listed, and of some that were."""
+    """The incarnations of all servers in the list, and of some that were removed."""
 
     def __init__(self) -> None:
-        self._offset_ms = now_ms() - time.time() * 1000.0
+        self._unix_to_node_clock_ms = now_ms() - time.time() * 1000.0
         self._listed: dict[int, Incarnation] = {}
-        self._left: dict[int, Incarnation] = {}  # in the order in which they left
+        self._removed: dict[int, Incarnation] = {}  # in the order of their removal
 
-    def assign_start_times(self, listing: EndpointList, told_ms: float) -> None:
-        """Set `started_ms` of a listing's entries, which were told at `told_ms`.
+    def assign_start_times(self, endpoints: EndpointList, received_at_ms: float) -> None:
+        """Set `started_at_ms` of all entries of a list.
 
-        A start that is new cannot lie after the moment it was told. It is taken to lie after the answer
-        before, which told the earlier one: this bounds the error of a clock that was wrong from the first.
+        Args:
+            endpoints: The list.
+            received_at_ms: When the list was received, on the node's clock.
         """
-        for entry in listing.endpoints:
-            server, since_ms = entry.server_id, listing.start_times_ms[entry.server_id]
-            known = self._listed.get(server) or self._left.pop(server, None)
-            if known is None or known.since_ms != since_ms:
-                known = Incarnation(
-                    since_ms, self._locate(since_ms, listing.previous_response_at_ms, told_ms)
+        for endpoint in endpoints.endpoints:
+            server_id = endpoint.server_id
+            reported_start_ms = endpoints.start_times_ms[server_id]
+            incarnation = self._listed.get(server_id) or self._removed.pop(server_id, None)
+            if incarnation is None or incarnation.reported_start_ms != reported_start_ms:
+                started_at_ms = self._start_on_node_clock(
+                    reported_start_ms, endpoints.previous_response_at_ms, received_at_ms
                 )
-            self._listed[server] = known
-            entry.started_at_ms = known.started_at_ms
+                incarnation = Incarnation(reported_start_ms, started_at_ms)
+            self._listed[server_id] = incarnation
+            endpoint.started_at_ms = incarnation.started_at_ms
 
-    def _locate(self, since_ms: float, previous_ms: float, told_ms: float) -> float | None:
-        if since_ms <= 0:
+    def _start_on_node_clock(
+        self, reported_start_ms: float, previous_response_at_ms: float, received_at_ms: float
+    ) -> float | None:
+        """Convert a start that was not reported before to the node's clock; None for long ago.
+
+        It cannot lie after the list that reports it was received. It is taken to lie after the answer before,
+        which did not report it. This bounds the error of a wall clock that was wrong from the first.
+        """
+        if reported_start_ms <= 0:
             return None
-        return min(max(since_ms + self._offset_ms, previous_ms), told_ms)
+        started_at_ms = reported_start_ms + self._unix_to_node_clock_ms
+        return min(max(started_at_ms, previous_response_at_ms), received_at_ms)
 
-    def forget(self, server: int) -> None:
-        """A server has left the list; its start is remembered for a while."""
-        start = self._listed.pop(server, None)
-        if start is None:
+    def forget(self, server_id: int) -> None:
+        """Remove a server from the list; its incarnation is remembered in case that it returns."""
+        incarnation = self._listed.pop(server_id, None)
+        if incarnation is None:
             return
-        self._left[server] = start
-        if len(self._left) > MOST_REMEMBERED:
-            del self._left[next(iter(self._left))]
+        self._removed[server_id] = incarnation
+        if len(self._removed) > MAX_REMOVED_SERVERS:
+            del self._removed[next(iter(self._removed))]
