--- a/tests/test_update_latency.py
+++ b/tests/test_update_latency.py
@@ -1,4 +1,4 @@
-"""What discovery has to tell reaches the node though calls fail, several in a row and in every way."""
+"""Updates from discovery reach the node in time though calls fail, several in a row and in every way."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import socket
 import struct
 from collections.abc import AsyncIterator
+from enum import Enum
 from pathlib import Path
 from typing import Any
 
@@ -19,134 +20,162 @@
 from workspond.discovery import watcher as discovery
 from workspond.policy.subscription_backoff import ASK_LONGEST_MS
 
-TOLD_MS = 6000.0  # after discovery had it and could be reached, whatever became of calls
-TOLD_RELOAD_MS = 4000.0  # after SIGHUP
-REFUSED, HUNG, RESET, SILENT, HALF, CUT, BROKEN = WAYS = (
-    "refused",
-    "a dial that hangs",
-    "reset while waiting",
-    "silent",
-    "half an answer, then silence",
-    "half an answer, then its end",
-    "status 500",
-)
-PUSHED = "pushed"
+MAX_LATENCY_MS = 6000.0  # after discovery had it and could be reached, an update counts as received
+MAX_RELOAD_LATENCY_MS = 4000.0  # after SIGHUP, the list of the new agent counts as received
+MARGIN_MS = 200.0
+
+
+class Failure(Enum):
+    """A way in which calls to discovery fail."""
+
+    CONNECTION_REFUSED = "refused"
+    CONNECTION_HANGS = "a dial that hangs"
+    RESET = "reset while waiting"
+    SILENT = "silent"
+    HALF_THEN_SILENT = "half an answer, then silence"
+    HALF_THEN_CLOSED = "half an answer, then its end"
+    STATUS_500 = "status 500"
 
 
 def test_the_longest_sum_of_waits_is_within_the_time_after_which_news_counts_as_told() -> None:
-    """It was 8.75 s with three silent calls in a row, where lists are asked for."""
+    """It was 8.75 s with three silent calls in a row, where the node makes the calls on request."""
     pushed_ms, asked_ms = node.PUSHED_RETRY_S * 1000.0, ASK_LONGEST_MS
     assert discovery.MAX_CONSECUTIVE_FAILURES >= 3
     for pause_ms in (pushed_ms, asked_ms):
-        assert discovery.max_update_latency_ms(pause_ms) < TOLD_MS - 200.0
+        assert discovery.max_update_latency_ms(pause_ms) < MAX_LATENCY_MS - MARGIN_MS
         after_reload_ms = 2 * (discovery.POLL_TIMEOUT_MS + pause_ms) + agent_link.CONNECT_S * 1000.0
-        assert after_reload_ms < TOLD_RELOAD_MS - 200.0
+        assert after_reload_ms < MAX_RELOAD_LATENCY_MS - MARGIN_MS
 
 
-class Agent:
-    """Discovery on raw sockets: it fails calls in the way named, and answers well with `news` if none is."""
+class FailingAgent:
+    """A discovery agent on raw sockets; while `failure` is set, its calls fail in that way.
 
-    def __init__(self, news: list[dict[str, Any]]) -> None:
-        self.way: str | None = None
-        self.calls = 0  # that came whole
-        self._news = news
+    Otherwise it answers polls at once, and watches only if there is an endpoint to report.
+    """
+
+    def __init__(self) -> None:
+        self.failure: Failure | None = None
+        self.requests_received = 0
+        self.endpoints: list[dict[str, Any]] = []
+        self.port = 0
         self._listener: socket.socket | None = None
-        self._fillers: list[socket.socket] = []
+        self._queue_filler: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._open: set[asyncio.StreamWriter] = set()
-        self.port = 0
-        self.fall_to(None)
+        self._writers: set[asyncio.StreamWriter] = set()
+        self.fail_by(None)
 
-    def fall_to(self, way: str | None) -> None:
-        """Fail in this way from now on. No turn of the loop passes: no call slips through."""
-        self.way = way
-        if self._listener is not None:
-            asyncio.get_running_loop().remove_reader(self._listener)
-            self._listener.close()
-        for filler in self._fillers:
-            filler.close()
-        self._fillers.clear()
-        self._listener = None
-        if way == REFUSED:
+    def fail_by(self, failure: Failure | None) -> None:
+        """Let calls fail in this way from now on.
+
+        The event loop does not run meanwhile, so no call slips through.
+        """
+        self.failure = failure
+        self._stop_listening()
+        if failure is Failure.CONNECTION_REFUSED:
             return
-        self._listener = socket.create_server(("127.0.0.1", self.port), backlog=0 if way == HUNG else 16)
+        hangs = failure is Failure.CONNECTION_HANGS
+        self._listener = socket.create_server(("127.0.0.1", self.port), backlog=0 if hangs else 16)
         self.port = self._listener.getsockname()[1]
-        if way == HUNG:  # its queue is full with one: the next handshake hangs
-            self._fillers.append(socket.create_connection(("127.0.0.1", self.port)))
+        if hangs:
+            # The queue of this listener is full with one connection, so the next handshake hangs.
+            self._queue_filler = socket.create_connection(("127.0.0.1", self.port))
             return
         self._listener.setblocking(False)
-        asyncio.get_running_loop().add_reader(self._listener, self._accept)
+        asyncio.get_running_loop().add_reader(self._listener, self._accept, self._listener)
 
-    def end_calls(self) -> None:
-        """Reset what is open."""
-        for writer in list(self._open):
-            self._reset(writer)
+    def _stop_listening(self) -> None:
+        if self._listener is not None:
+            asyncio.get_running_loop().remove_reader(self._listener)
+            self._listener.close()
+            self._listener = None
+        if self._queue_filler is not None:
+            self._queue_filler.close()
+            self._queue_filler = None
 
-    def _accept(self) -> None:
-        assert self._listener is not None
+    def reset_connections(self) -> None:
+        for writer in list(self._writers):
+            _reset(writer)
+
+    def _accept(self, listener: socket.socket) -> None:
         with contextlib.suppress(BlockingIOError):
-            connection, _ = self._listener.accept()
-            task = asyncio.get_running_loop().create_task(self._serve(connection))
-            self._tasks.add(task)
+            connection, _ = listener.accept()
+            self._tasks.add(asyncio.get_running_loop().create_task(self._serve(connection)))
 
     async def _serve(self, connection: socket.socket) -> None:
         reader, writer = await asyncio.open_connection(sock=connection)
-        self._open.add(writer)
+        self._writers.add(writer)
         with contextlib.suppress(ConnectionError):
             while (message := await read_message(reader)) is not None:
-                self.calls += 1
-                await self._answer(writer, "index=" not in message.target)
-        self._open.discard(writer)
+                self.requests_received += 1
+                self._answer(writer, is_poll="index=" not in message.target)
+        self._writers.discard(writer)
         writer.close()
 
-    async def _answer(self, writer: asyncio.StreamWriter, whole: bool) -> None:
-        body = json.dumps({"index": self.calls, "snapshot": whole, "endpoints": self._news}).encode()
-        good = answer(200, body)
-        if self.way is None:
-            if not whole and not self._news:
-                return  # nothing to tell
-            writer.write(good)
-        elif self.way in (HALF, CUT):
-            writer.write(good[: len(good) // 2])
-            if self.way == CUT:
+    def _answer(self, writer: asyncio.StreamWriter, *, is_poll: bool) -> None:
+        update = {"index": self.requests_received, "snapshot": is_poll, "endpoints": self.endpoints}
+        response = answer(200, json.dumps(update).encode())
+        first_half = response[: len(response) // 2]
+        match self.failure:
+            case None:
+                if is_poll or self.endpoints:
+                    writer.write(response)
+            case Failure.HALF_THEN_SILENT:
+                writer.write(first_half)
+            case Failure.HALF_THEN_CLOSED:
+                writer.write(first_half)
                 writer.close()
-        elif self.way == BROKEN:
-            writer.write(answer(500))
-        elif self.way == RESET:
-            self._reset(writer)
-
-    @staticmethod
-    def _reset(writer: asyncio.StreamWriter) -> None:
-        linger = struct.pack("ii", 1, 0)
-        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-        writer.close()
+            case Failure.STATUS_500:
+                writer.write(answer(500))
+            case Failure.RESET:
+                _reset(writer)
 
     async def stop(self) -> None:
-        self.fall_to(REFUSED)
-        self.end_calls()
+        self._stop_listening()
+        self.reset_connections()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
+def _reset(writer: asyncio.StreamWriter) -> None:
+    """Close a connection by a reset."""
+    linger_for_no_time = struct.pack("ii", 1, 0)
+    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_for_no_time)
+    writer.close()
+
+
 @contextlib.asynccontextmanager
-async def agent(news: list[dict[str, Any]]) -> AsyncIterator[Agent]:
-    made = Agent(news)
+async def failing_agent() -> AsyncIterator[FailingAgent]:
+    agent = FailingAgent()
     try:
-        yield made
+        yield agent
     finally:
-        await made.stop()
+        await agent.stop()
+
 
+CASES = [
+    *((failure,) * 3 for failure in Failure),
+    tuple(Failure),
+    (
+        Failure.SILENT,
+        Failure.CONNECTION_HANGS,
+        Failure.STATUS_500,
+        Failure.CONNECTION_REFUSED,
+        Failure.HALF_THEN_SILENT,
+    ),
+]
 
-CASES = [(way,) * 3 for way in WAYS] + [WAYS, (SILENT, HUNG, BROKEN, REFUSED, HALF)]
 
+def case_name(failures: tuple[Failure, ...]) -> str:
+    return "; ".join(dict.fromkeys(failure.value for failure in failures))
 
-@pytest.mark.parametrize("mode", [PUSHED, "on_request"])
-@pytest.mark.parametrize("ways", CASES, ids=lambda ways: "; ".join(dict.fromkeys(ways)))
+
+@pytest.mark.parametrize("mode", ["pushed", "on_request"])
+@pytest.mark.parametrize("failures", CASES, ids=case_name)
 def test_news_comes_with_the_first_call_that_succeeds(
-    ways: tuple[str, ...], mode: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    failures: tuple[Failure, ...], mode: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each of the failures costs one call and one pause, so that the longest sum of waits holds.
+    """Each of the failures costs one call and one wait, so that the longest sum of waits holds.
 
     (Passed before the sum was cut.) The waits are cut so that the test is short; it counts calls, not time.
     """
@@ -156,23 +185,25 @@
     async def test() -> None:
         new = Server(name="new")
         await new.start()
-        async with agent([]) as source, world(tmp_path, Server(), membership_mode=mode) as scene:
+        async with failing_agent() as agent, world(tmp_path, Server(), membership_mode=mode) as scene:
             assert scene.node is not None
-            held, failures, left = scene.node._discovery, list[str](), list(ways)
-            on_failure = held._listener.watch_failed
-
-            def note(reason: str) -> None:
-                failures.append(reason)
-                source.fall_to(left.pop(0) if left else None)
+            watcher = scene.node._discovery
+            on_failure = watcher._listener.watch_failed
+            reasons: list[str] = []
+            failures_to_come = list(failures)
+
+            def watch_failed(reason: str) -> None:
+                reasons.append(reason)
+                agent.fail_by(failures_to_come.pop(0) if failures_to_come else None)
                 on_failure(reason)
 
-            held.change_address(("127.0.0.1", source.port))
-            await until(lambda: source.calls == 2)  # the whole list, and a watch
-            monkeypatch.setattr(held._listener, "watch_failed", note)
-            source._news.append(new.entry())  # discovery has it from here on
-            source.end_calls()  # the watch that is out breaks: the first failure, before those named
+            watcher.change_address(("127.0.0.1", agent.port))
+            await until(lambda: agent.requests_received == 2)  # a poll and a watch
+            monkeypatch.setattr(watcher._listener, "watch_failed", watch_failed)
+            agent.endpoints.append(new.entry())  # from now on discovery has the update
+            agent.reset_connections()  # the first failure, before those named: the watch breaks
             await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
-            assert len(failures) == len(ways) + 1, failures
+            assert len(reasons) == len(failures) + 1, reasons
         await new.stop()
 
     run(test())
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -90,7 +90,7 @@
         """Call the agent at this address from now on.
 
         The first call to another agent is for the complete list, since the versions of two agents need not
-        agree. The call to the agent of before is superseded.
+        agree. The call to the former agent is superseded.
         """
         if self._closed:
             return
@@ -210,7 +210,10 @@
             self._client = client
 
     def _restart_from_complete_list(self) -> None:
-        """End all watches: another agent has just replaced the list that they would report changes to."""
+        """Have the current call followed by a poll, and end the other watches.
+
+        Another agent's list has just replaced the one that they would report changes to.
+        """
         self._client.needs_complete_list = True
         self._superseded.close_watches()
 
