--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -1,28 +1,26 @@
-"""Lists that come slowly, in every framing, from a discovery that is slow or crowded."""
+"""Endpoint lists that arrive slowly or late, and in every framing of HTTP."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
-from collections.abc import Callable
+from collections.abc import AsyncIterator, Callable
 from pathlib import Path
 
 import pytest
 
-from tests.peers import CLOSE, RESET, Registry, Seen, Server, run, until, world
+from tests.peers import CLOSE, RESET, Registry, Seen, Server, World, run, until, world
 from workspond.discovery import agent_client as agent_link
 
-PIECES = 15
-PIECE_EVERY_S = 0.1
-LATE_S = 1.7
+PIECES = 15  # at their interval they take longer than the timeout of a poll
+PIECE_INTERVAL_S = 0.1
+CHUNK_BYTES = 100
+RESPONSE_DELAY_S = 1.7  # longer than any call's timeout
 
 
-class SlowRegistry(Registry):
-    """Discovery that writes its whole lists piece by piece."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.whole_lists = 0
+class TricklingRegistry(Registry):
+    """An agent that writes complete lists piece by piece."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
@@ -35,13 +33,22 @@
         size = len(data) // PIECES
         for start in range(0, PIECES * size, size):
             self._writer.write(data[start : start + size])
-            await asyncio.sleep(PIECE_EVERY_S)
-        self.whole_lists += 1
+            await asyncio.sleep(PIECE_INTERVAL_S)
         return data[PIECES * size :]
 
 
-def close_framed(data: bytes) -> bytes:
-    """An answer without the header that tells its length."""
+@contextlib.asynccontextmanager
+async def node_to_start(source: Registry, server: Server, path: Path) -> AsyncIterator[World]:
+    """A node that is not started yet and knows no server; its agent is `source`."""
+    await source.start()
+    async with world(path, server, start=False, known=False) as scene:
+        scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
+        yield scene
+    await source.stop()
+
+
+def without_length(data: bytes) -> bytes:
+    """A response without Content-Length, which ends with its connection."""
     head, _, body = data.partition(b"\r\n\r\n")
     lines = [line for line in head.split(b"\r\n") if not line.lower().startswith(b"content-length")]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
@@ -53,15 +60,12 @@
     """Each call was cut at 1 s, however much of its answer had come: the node was never ready."""
 
     async def test() -> None:
-        server, source = Server(), SlowRegistry()
-        await source.start()
-        async with world(tmp_path, server, start=False, known=False) as scene:
+        server, source = Server(), TricklingRegistry()
+        async with node_to_start(source, server, tmp_path) as scene:
             source.whole = [server.entry()]
-            scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
             await scene.begin()
             await until(lambda: scene.node is not None and bool(scene.node._in_service))
             assert source.connections == 1
-        await source.stop()
 
     run(test())
 
@@ -71,14 +75,11 @@
 
     async def test() -> None:
         server, source = Server(), Registry()
-        await source.start()
-        async with world(tmp_path, server, start=False, known=False) as scene:
-            source.spoil = [close_framed(source.listing([server.entry()], True)) + CLOSE]
-            scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
+        async with node_to_start(source, server, tmp_path) as scene:
+            source.spoil = [without_length(source.listing([server.entry()], True)) + CLOSE]
             await scene.begin()
             await until(lambda: source.watches() > 0)
             assert scene.node is not None and scene.node._in_service
-        await source.stop()
 
     run(test())
 
@@ -89,12 +90,12 @@
     monkeypatch.setattr(agent_link, "LONGEST_ANSWER_S", 1.5)
 
     async def test() -> None:
-        server, source = Server(), SlowRegistry()
+        server, source = Server(), TricklingRegistry()
         await source.start()
         async with world(tmp_path, server) as scene:
             await until(lambda: scene.registry.watches() > 0)
             assert scene.node is not None
-            source.whole = [server.entry(name=f"s{n}" + "x" * 200) for n in range(50)]
+            source.whole = [server.entry(name=f"s{number}" + "x" * 200) for number in range(50)]
             monkeypatch.setattr("tests.test_slow_endpoint_lists.PIECES", 1000)
             host, _, port = source.address.rpartition(":")
             scene.node._discovery.change_address((host, int(port)))
@@ -106,17 +107,18 @@
 
 
 def chunked(data: bytes) -> bytes:
-    head, _, body = close_framed(data).partition(b"\r\n\r\n")
-    pieces = [body[start : start + 100] for start in range(0, len(body), 100)]
+    """A response in the chunked transfer coding."""
+    head, _, body = without_length(data).partition(b"\r\n\r\n")
+    pieces = [body[start : start + CHUNK_BYTES] for start in range(0, len(body), CHUNK_BYTES)]
     chunks = b"".join(b"%x\r\n%b\r\n" % (len(piece), piece) for piece in pieces)
     return head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
 
 
 class LateRegistry(Registry):
-    """Discovery that answers each call well after its time."""
+    """An agent that begins each answer well after the call's timeout."""
 
     async def script(self, message: Seen) -> bytes:
-        await asyncio.sleep(LATE_S)
+        await asyncio.sleep(RESPONSE_DELAY_S)
         return await super().script(message)
 
 
@@ -125,29 +127,26 @@
 
     async def test() -> None:
         server, new, source = Server(), Server(name="new"), LateRegistry()
-        await source.start()
         await new.start()
-        async with world(tmp_path, server, start=False, known=False) as scene:
+        async with node_to_start(source, server, tmp_path) as scene:
             source.whole = [server.entry()]
-            scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
             await scene.begin()
             await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
             source.tell(new.entry())
             await until(lambda: scene.node is not None and len(scene.node._in_service) == 2)
             assert source.connections <= 8
         await new.stop()
-        await source.stop()
 
     run(test())
 
 
-INTERIM = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
+INTERIM_RESPONSE = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
 FRAMINGS: dict[str, Callable[[bytes], bytes]] = {
     "chunks": chunked,
-    "interim answers first": lambda data: INTERIM + INTERIM + data,
-    "an interim answer, then no length": lambda data: INTERIM + close_framed(data) + CLOSE,
+    "interim answers first": lambda data: INTERIM_RESPONSE + INTERIM_RESPONSE + data,
+    "an interim answer, then no length": lambda data: INTERIM_RESPONSE + without_length(data) + CLOSE,
     "a length and a close": lambda data: data + CLOSE,
-    "HTTP/1.0 without a length": lambda data: close_framed(data).replace(b"HTTP/1.1", b"HTTP/1.0") + CLOSE,
+    "HTTP/1.0 without a length": lambda data: without_length(data).replace(b"HTTP/1.1", b"HTTP/1.0") + CLOSE,
 }
 
 
@@ -155,30 +154,24 @@
 def test_lists_are_read_in_every_framing(frame: Callable[[bytes], bytes], tmp_path: Path) -> None:
     async def test() -> None:
         server, source = Server(), Registry()
-        await source.start()
-        async with world(tmp_path, server, start=False, known=False) as scene:
+        async with node_to_start(source, server, tmp_path) as scene:
             source.spoil = [frame(source.listing([server.entry()], True))]
-            scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
             await scene.begin()
             await until(lambda: source.watches() > 0)
             assert scene.node is not None and scene.node._in_service
-        await source.stop()
 
     run(test())
 
 
 def test_a_reset_in_the_midst_of_a_list_with_no_length_is_no_end(tmp_path: Path) -> None:
-    """What came before it is a whole list by itself."""
+    """What came before it is a complete list by itself."""
 
     async def test() -> None:
         server, source = Server(), Registry()
-        await source.start()
-        async with world(tmp_path, server, start=False, known=False) as scene:
-            source.spoil = [close_framed(source.listing([server.entry()], True)) + RESET]
-            scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
+        async with node_to_start(source, server, tmp_path) as scene:
+            source.spoil = [without_length(source.listing([server.entry()], True)) + RESET]
             await scene.begin()
             await until(lambda: len(source.seen) >= 2)
             assert [seen.target for seen in source.seen[:2]] == ["/api/targets"] * 2
-        await source.stop()
 
     run(test())
