--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock change nothing that is known of when servers started."""
+"""Steps of the wall clock change nothing of what the node knows of the starts of servers."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from workspond.discovery.incarnations import IncarnationTracker
 
 HOUR_S = 3600.0
-UP_S = 600.0  # how long all servers have been up
-COUNT = 6
+UPTIME_S = 600.0  # of all servers
+SERVER_COUNT = 6
 
 
 class WallClock:
@@ -31,8 +31,8 @@
         return int(self._true_time() * 1000.0)
 
 
-def warmths(scene: World) -> dict[str, float]:
-    """The share of its capacity that each server is taken to have, by its name."""
+def capacity_fractions(scene: World) -> dict[str, float]:
+    """The fraction of its capacity that the node takes each server to have, by its name."""
     assert scene.node is not None
     module = scene.node._balancer
     names = {scene.node._addresses[id]: id for id in module.fleet.servers}
@@ -46,8 +46,8 @@
     }
 
 
-async def told(scene: World, entries: list[dict[str, object]]) -> None:
-    """Tell the whole list and wait until the node has taken it."""
+async def send_complete_list(scene: World, entries: list[dict[str, object]]) -> None:
+    """Send a complete list and wait until the node has taken it."""
     watches = scene.registry.watches()
     scene.registry.tell(*entries, snapshot=True)
     await until(lambda: scene.registry.watches() > watches)
@@ -56,78 +56,92 @@
 def test_a_step_of_the_wall_clock_leaves_warm_servers_warm_and_cold_ones_cold(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Stepped back all servers were taken for cold, stepped forward a new one got a full share at once."""
+    """After a step back all servers counted as warming up; after one forward a new one got full load."""
 
     async def test(step_s: float) -> None:
         clock = WallClock(monkeypatch)
-        up = clock.true_ms() - int(UP_S * 1000.0)
-        servers = [Server(name=f"s{n}") for n in range(COUNT)]
+        up_since_ms = clock.true_ms() - int(UPTIME_S * 1000.0)
+        servers = [Server(name=f"s{n}") for n in range(SERVER_COUNT)]
         async with world(tmp_path, *servers, known=False) as scene:
-            scene.registry.whole = [server.entry(since_ms=up) for server in servers]
+            scene.registry.whole = [server.entry(since_ms=up_since_ms) for server in servers]
             await until(lambda: scene.registry.watches() == 1)
-            assert set(warmths(scene).values()) == {1.0}
+            assert set(capacity_fractions(scene).values()) == {1.0}
             clock.offset_s = step_s
-            restarted = clock.true_ms()
-            entries = [server.entry(since_ms=up) for server in servers]
-            await told(scene, [*entries[:-1], servers[-1].entry(since_ms=restarted)])
-            warmth = warmths(scene)
-            cold = warmth.pop(servers[-1].name)
-            assert set(warmth.values()) == {1.0}
+            restarted_at_ms = clock.true_ms()
+            entries = [server.entry(since_ms=up_since_ms) for server in servers]
+            await send_complete_list(scene, [*entries[:-1], servers[-1].entry(since_ms=restarted_at_ms)])
+            fractions = capacity_fractions(scene)
+            restarted_fraction = fractions.pop(servers[-1].name)
+            assert set(fractions.values()) == {1.0}
             assert scene.node is not None
             start = scene.node._config.settings.start_capacity
-            assert start <= cold < start + 0.1
+            assert start <= restarted_fraction < start + 0.1
 
     for step_s in (-HOUR_S, HOUR_S):
         run(test(step_s))
 
 
-TOLD_MS = now_ms()  # of the list that tells a start: by the machine's clock, however long it has been up
-PREVIOUS_MS = TOLD_MS - 1000.0  # of the one before it
+# When the list that reports a start is received. The node's clock as it is now: it counts from the machine's start.
+RECEIVED_AT_MS = now_ms()
+PREVIOUS_AT_MS = RECEIVED_AT_MS - 1000.0  # of the list before it
 
 
-def listing(since_ms: float, previous_ms: float = PREVIOUS_MS) -> EndpointList:
-    entry = {"name": "s", "address": "127.0.0.1:1", "status": "active", "since_ms": since_ms}
-    made = read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [entry]})
-    made.previous_response_at_ms = previous_ms
-    return made
+def entry(name: str, since_ms: float) -> dict[str, object]:
+    """An entry as discovery writes it."""
+    return {"name": name, "address": "127.0.0.1:1", "status": "active", "since_ms": since_ms}
 
 
-def placed(starts: IncarnationTracker, told: EndpointList, told_ms: float = TOLD_MS) -> float | None:
-    starts.assign_start_times(told, told_ms)
-    [entry] = told.endpoints
-    return entry.started_at_ms
+def list_of_one(since_ms: float, previous_at_ms: float = PREVIOUS_AT_MS) -> EndpointList:
+    """A list with a server that started at this time."""
+    endpoints = read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [entry("s", since_ms)]})
+    endpoints.previous_response_at_ms = previous_at_ms
+    return endpoints
+
+
+def assigned_start_ms(
+    tracker: IncarnationTracker, endpoints: EndpointList, received_at_ms: float = RECEIVED_AT_MS
+) -> float | None:
+    """The start that the tracker assigns to the one server of a list, on the node's clock."""
+    tracker.assign_start_times(endpoints, received_at_ms)
+    [endpoint] = endpoints.endpoints
+    return endpoint.started_at_ms
 
 
 @pytest.mark.parametrize(
-    ("wrong_s", "first"), [(HOUR_S, PREVIOUS_MS), (-HOUR_S, TOLD_MS)], ids=["ahead", "behind"]
+    ("error_s", "expected_ms"),
+    [(HOUR_S, PREVIOUS_AT_MS), (-HOUR_S, RECEIVED_AT_MS)],
+    ids=["ahead", "behind"],
 )
 def test_with_a_wall_clock_that_was_always_wrong_a_new_start_lies_between_two_lists(
-    wrong_s: float, first: float, monkeypatch: pytest.MonkeyPatch
+    error_s: float, expected_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = WallClock(monkeypatch)
-    clock.offset_s = wrong_s
-    starts = IncarnationTracker()
-    assert placed(starts, listing(clock.true_ms())) == first
+    clock.offset_s = error_s
+    tracker = IncarnationTracker()
+    assert assigned_start_ms(tracker, list_of_one(clock.true_ms())) == expected_ms
 
 
 def test_a_start_is_new_only_where_discovery_tells_another_one() -> None:
-    starts = IncarnationTracker()
-    assert placed(starts, listing(0)) is None
-    assert placed(starts, listing(1000.0, -math.inf)) is not None  # a clock that was set, long ago
-    old = placed(starts, listing(1000.0))
-    assert placed(starts, listing(1000.0), TOLD_MS + 1000.0) == old
-    starts.forget(server_id("s"))  # a region's return: as it was, not cold
-    assert placed(starts, listing(1000.0), TOLD_MS + 2000.0) == old
-    assert placed(starts, listing(900.0), TOLD_MS + 3000.0) == PREVIOUS_MS  # back, by the server's clock
+    tracker = IncarnationTracker()
+    assert assigned_start_ms(tracker, list_of_one(0)) is None
+    # Long ago, by a clock that has been set since.
+    assert assigned_start_ms(tracker, list_of_one(1000.0, -math.inf)) is not None
+    first_ms = assigned_start_ms(tracker, list_of_one(1000.0))
+    assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 1000.0) == first_ms
+    tracker.forget(server_id("s"))
+    # The server returns with the same start, as after the loss of a region: it has not been restarted.
+    assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 2000.0) == first_ms
+    # A new start that lies earlier, because the server's clock was set back.
+    assert assigned_start_ms(tracker, list_of_one(900.0), RECEIVED_AT_MS + 3000.0) == PREVIOUS_AT_MS
 
 
 def test_what_is_remembered_of_servers_that_left_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("workspond.discovery.incarnations.MAX_REMOVED_SERVERS", 3)
-    starts = IncarnationTracker()
-    for n in range(10):
-        entry = {"name": f"s{n}", "address": "127.0.0.1:1", "status": "active", "since_ms": 1000.0}
-        starts.assign_start_times(
-            read_endpoint_list({"index": n, "snapshot": False, "endpoints": [entry]}), TOLD_MS
-        )
-        starts.forget(server_id(f"s{n}"))
-    assert len(starts._removed) == 3 and not starts._listed
+    tracker = IncarnationTracker()
+    for number in range(10):
+        name = f"s{number}"
+        update = {"index": number, "snapshot": False, "endpoints": [entry(name, 1000.0)]}
+        tracker.assign_start_times(read_endpoint_list(update), RECEIVED_AT_MS)
+        tracker.forget(server_id(name))
+    assert len(tracker._removed) == 3
+    assert not tracker._listed
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again under way, and nothing that is held is disturbed."""
+"""SIGHUP: the configuration is read again, and no request or connection is disturbed."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
 from workspond.discovery import watcher as discovery
 
 
-def write(scene: World, registry: Registry) -> None:
+def write_config(scene: World, registry: Registry) -> None:
+    """Write a configuration that names another discovery agent."""
     scene.path.write_text(json.dumps(scene.config | {"discovery": registry.address}))
 
 
-async def log_line(program: Program, words: bytes) -> None:
+async def wait_for_log_line(program: Program, text: bytes) -> None:
+    """Wait until the program logs a line with this text."""
     assert program.process.stderr is not None
     while True:
         line = await asyncio.wait_for(program.process.stderr.readline(), LIMIT_S)
-        assert line, "ended"
-        if words in line:
+        assert line, "the program has ended"
+        if text in line:
             return
 
 
@@ -49,9 +51,9 @@
 
             scene.path.write_text("{")
             program.process.send_signal(signal.SIGHUP)
-            await log_line(program, b"the old configuration stays")
+            await wait_for_log_line(program, b"the old configuration stays")
 
-            write(scene, other)
+            write_config(scene, other)
             program.process.send_signal(signal.SIGHUP)
             await until(lambda: len(other.seen) == 2)
             watch = f"/api/targets?index=1&wait={discovery.WATCH_MS}"
@@ -62,7 +64,7 @@
             assert (await caller.ask("next")).status == 200  # on the same connection
             assert [seen.id for seen in new.seen] == ["next"]
 
-            write(scene, scene.registry)  # and back again
+            write_config(scene, scene.registry)  # and back again
             program.process.send_signal(signal.SIGHUP)
             await until(lambda: scene.registry.watches() == 2)
             program.process.send_signal(signal.SIGTERM)
@@ -77,7 +79,7 @@
 def test_a_new_address_that_is_silent_at_first_is_heard_before_its_list_counts_as_told(
     tmp_path: Path,
 ) -> None:
-    """The list counts 4 s after the signal; the call for it was waited for 5 s."""
+    """The list counts as received 4 s after the signal; the timeout of the call for it was 5 s."""
 
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
@@ -100,20 +102,20 @@
     run(test())
 
 
-SLOW_S = 0.5  # in which discovery answers
-RELOAD_EVERY_S = 0.2
+RESPONSE_DELAY_S = 0.5
+RELOAD_INTERVAL_S = 0.2
 
 
 class SlowRegistry(Registry):
-    """Discovery that answers each call after a while."""
+    """An agent that answers each call after a while."""
 
     async def script(self, message: Seen) -> bytes:
-        await asyncio.sleep(SLOW_S)
+        await asyncio.sleep(RESPONSE_DELAY_S)
         return await super().script(message)
 
 
 def test_reloads_in_quick_succession_do_not_keep_a_change_from_being_heard(tmp_path: Path) -> None:
-    """Each dropped the call that was out: with 0.5 s for an answer none came as long as signals did."""
+    """Each dropped the call in flight: no answer that takes 0.5 s came as long as the signals did."""
 
     async def test() -> None:
         server, new = Server(name="old"), Server(name="new")
@@ -127,9 +129,9 @@
             await until(lambda: len(node._in_service) == 1)
             began_s = time.monotonic()
             while len(node._in_service) == 1:
-                assert time.monotonic() - began_s < 5 * SLOW_S
+                assert time.monotonic() - began_s < 5 * RESPONSE_DELAY_S
                 node.reconfigure(dataclasses.replace(node._config, discovery=(host, int(port))))
-                await asyncio.sleep(RELOAD_EVERY_S)
+                await asyncio.sleep(RELOAD_INTERVAL_S)
         await new.stop()
         await source.stop()
 
@@ -150,8 +152,8 @@
             scene.node._discovery.change_address((host, int(port)))
             scene.registry.tell(ghost.entry(), snapshot=True)
             await until(lambda: len(other.seen) == 2)
-            for n in range(4):
-                assert (await scene.ask(f"{n}")).status == 200
+            for number in range(4):
+                assert (await scene.ask(f"{number}")).status == 200
             assert not ghost.seen and len(server.seen) == 4
         await ghost.stop()
         await other.stop()
@@ -162,27 +164,27 @@
 def test_a_dial_to_discovery_that_hangs_is_given_up_and_another_made(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It used up the whole of a watch's 21.5 s."""
+    """It used up the whole timeout of a watch, 21.5 s."""
     monkeypatch.setattr(agent_link, "CONNECT_S", 0.1)
 
     async def test() -> None:
         server = Server()
-        with socket.socket() as hung, socket.socket() as filler:
-            hung.bind(("127.0.0.1", 0))
-            hung.listen(0)  # full with one: the next handshake hangs
-            await asyncio.to_thread(filler.connect, hung.getsockname())
+        with socket.socket() as listener, socket.socket() as queue_filler:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)  # its queue is full with one connection: the next handshake hangs
+            await asyncio.to_thread(queue_filler.connect, listener.getsockname())
             async with world(tmp_path, server) as scene:
                 assert scene.node is not None
-                failed: list[str] = []
+                reasons: list[str] = []
                 on_failure = scene.node.watch_failed
 
-                def note(reason: str) -> None:
-                    failed.append(reason)
+                def watch_failed(reason: str) -> None:
+                    reasons.append(reason)
                     on_failure(reason)
 
-                monkeypatch.setattr(scene.node, "watch_failed", note)
-                scene.node._discovery.change_address(hung.getsockname())
-                await until(lambda: sum("can't connect" in why for why in failed) >= 2)
+                monkeypatch.setattr(scene.node, "watch_failed", watch_failed)
+                scene.node._discovery.change_address(listener.getsockname())
+                await until(lambda: sum("can't connect" in reason for reason in reasons) >= 2)
                 assert (await scene.ask("a")).status == 200
 
     run(test())
