--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -81,7 +81,7 @@
         run(test(step_s))
 
 
-# When the list that reports a start is received. The node's clock as it is now: it counts from the machine's start.
+# When the list that reports a start is received: now, as the node's clock counts from the machine's start.
 RECEIVED_AT_MS = now_ms()
 PREVIOUS_AT_MS = RECEIVED_AT_MS - 1000.0  # of the list before it
 
