--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,13 +5,13 @@
 import pytest
 
 from tests.known_red import KnownRedError, load_known_failures
-from workspond.upstream import connection_pool as upstream
+from workspond.upstream import connection as server_connection
 
 
 @pytest.fixture(autouse=True)
 def connections_reusable_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Which connection a request gets must not hang on how fast the test runs; the delay has tests."""
-    monkeypatch.setattr(upstream, "REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr(server_connection, "REUSE_DELAY_MS", 0.0)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -23,9 +23,10 @@
 from workspond.policy.endpoint import Endpoint
 from workspond.policy.events import AttemptEnded, EndpointUpdate, Outcome, RequestReceived, UpdateKind
 from workspond.policy.settings import Idempotency, RequestClass, Settings
-from workspond.upstream import connection_pool as upstream
+from workspond.upstream import connection as server_connection
 from workspond.upstream.attempt import ServerResponse
-from workspond.upstream.connection_pool import Connection, ConnectionPool
+from workspond.upstream.connection import Connection
+from workspond.upstream.connection_pool import ConnectionPool
 from workspond.upstream.load_report import read_report
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
@@ -371,7 +372,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Nothing in an answer tells which request it is for, so a connection rests before the next goes out."""
-    monkeypatch.setattr(upstream, "REUSE_DELAY_MS", 60_000.0)  # the next comes within it on any machine
+    monkeypatch.setattr(
+        server_connection, "REUSE_DELAY_MS", 60_000.0
+    )  # the next comes within it on any machine
 
     async def test() -> None:
         server = Twice()
