--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -37,7 +37,7 @@
                 caller.write(request("late", budget=str(BUDGET_S)))
                 assert scene.node is not None
                 upstream = scene.node._upstream
-                await until(lambda: len(upstream._dials) == 1)
+                await until(lambda: len(upstream._connecting) == 1)
                 loop = asyncio.get_running_loop()
                 (await loop.sock_accept(slow))[0].close()
                 # The handshake is tried again after 1 s.
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -171,7 +171,7 @@
                 node = scene.node
                 assert node is not None
                 caller.sendall(request("left"))
-                await until(lambda: len(node._upstream._dials) == 1)
+                await until(lambda: len(node._upstream._connecting) == 1)
                 leave(caller)
                 time.sleep(BUSY_S)
                 with slow.accept()[0], slow.accept()[0] as dialled:  # the second once it is sent anew, at 1 s
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -48,7 +48,7 @@
 async def dialling(scene: World) -> None:
     assert scene.node is not None
     upstream = scene.node._upstream
-    await until(lambda: len(upstream._dials) == 1)
+    await until(lambda: len(upstream._connecting) == 1)
 
 
 async def sent_on(connection: socket.socket) -> str | None:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -25,9 +25,9 @@
 from workspond.policy.settings import Idempotency, RequestClass, Settings
 from workspond.upstream import connection as server_connection
 from workspond.upstream.attempt import ServerResponse
-from workspond.upstream.connection import Connection
+from workspond.upstream.connection import ServerConnection
 from workspond.upstream.connection_pool import ConnectionPool
-from workspond.upstream.load_report import read_report
+from workspond.upstream.load_report import parse_load_report
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
@@ -286,7 +286,7 @@
 
 def test_a_write_that_fails_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     """The last byte did not go out, so the attempt may be made again, of whatever class."""
-    monkeypatch.setattr(Connection, "usable", lambda self: not self._lost)
+    monkeypatch.setattr(ServerConnection, "is_usable", lambda self: self._is_open)
 
     async def test() -> None:
         server = Blocking(reset=True)
@@ -461,7 +461,7 @@
 
 def test_huge_figures_in_a_report_are_cut() -> None:
     """A queue of 1e300, to the third power, stopped every pick."""
-    report = read_report(b"queue=1e300")
+    report = parse_load_report(b"queue=1e300")
     assert report == {"queue": 1e6}
     settings = Settings([RequestClass("read", 1000.0, 3000.0, idempotency=Idempotency.IDEMPOTENT)])
     balancer = Balancer(settings, 1)
@@ -473,9 +473,13 @@
 
 
 def test_a_report_that_cannot_be_read_counts_as_none() -> None:
-    assert read_report(b"inflight=7,queue=-2, util=0.61") == {"inflight": 7.0, "queue": 0.0, "util": 0.61}
+    assert parse_load_report(b"inflight=7,queue=-2, util=0.61") == {
+        "inflight": 7.0,
+        "queue": 0.0,
+        "util": 0.61,
+    }
     for text in (b"", b"queue", b"queue=1=2", b"queue=x", b"queue=nan", b"queue=inf", b"\xff=1"):
-        assert read_report(text) is None
+        assert parse_load_report(text) is None
 
 
 def test_what_must_not_run_twice_goes_on_a_fresh_connection_and_these_do_not_add_up(tmp_path: Path) -> None:
--- a/tests/test_response_parser.py
+++ b/tests/test_response_parser.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 from dataclasses import replace
 
 import pytest
@@ -147,7 +148,7 @@
     assert fed(STRICT, HEAD + b"X-Pad: " + b"x" * 200)[1] is ParseState.TOO_LARGE
     assert fed(STRICT, *[INTERIM] * 4)[1] is ParseState.TOO_LARGE
     assert fed(STRICT, *[INTERIM] * 3)[1] is ParseState.INCOMPLETE
-    assert fed(replace(STRICT, max_head_bytes=None), *[INTERIM] * 9)[1] is ParseState.INCOMPLETE
+    assert fed(replace(STRICT, max_head_bytes=math.inf), *[INTERIM] * 9)[1] is ParseState.INCOMPLETE
 
 
 def test_a_head_over_its_limit_counts_if_it_comes_in_one_read_with_its_end() -> None:
@@ -169,7 +170,7 @@
 )
 def test_a_body_over_its_limit_is_too_large(data: bytes) -> None:
     assert fed(STRICT, data)[1] is ParseState.TOO_LARGE
-    assert fed(replace(STRICT, max_body_bytes=None), data)[1] is not ParseState.TOO_LARGE
+    assert fed(replace(STRICT, max_body_bytes=math.inf), data)[1] is not ParseState.TOO_LARGE
 
 
 def test_a_body_of_just_its_limit_is_read() -> None:
--- a/workspond/http/response_parser.py
+++ b/workspond/http/response_parser.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import math
 from dataclasses import dataclass
 from enum import Enum
 
@@ -26,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseRules:
-    """What a response may be. A limit of None means that there is none.
+    """What a response may be; a limit of infinity means that there is none.
 
     Attributes:
-        header_names: The headers to keep, in lower case.
+        header_names: The headers to keep, in lower case; no framing headers.
         max_head_bytes: The limit of what is read before the body begins, interim responses included.
         max_body_bytes: The limit of the body. It holds for the announced length too.
         max_message_bytes: The limit of the whole response, as long as it is incomplete.
@@ -41,14 +42,14 @@
     """
 
     header_names: frozenset[bytes] = frozenset()
-    max_head_bytes: int | None = None
-    max_body_bytes: int | None = None
-    max_message_bytes: int | None = None
+    max_head_bytes: float = math.inf
+    max_body_bytes: float = math.inf
+    max_message_bytes: float = math.inf
     allows_two_framings: bool = True
     ignores_surplus: bool = False
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ParsedResponse:
     """A complete response; of a header that came more than once the last value is kept."""
 
@@ -57,10 +58,6 @@
     body: bytes
 
 
-def _exceeds(size_bytes: int, limit_bytes: int | None) -> bool:
-    return limit_bytes is not None and size_bytes > limit_bytes
-
-
 class ResponseParser:
     """Reads the responses of one connection, one after the other.
 
@@ -116,9 +113,9 @@
         if self._is_complete:
             return ParseState.COMPLETE
         # The parser reports a header once it is complete: an endless one shows only in the bytes fed.
-        if not self._in_body and _exceeds(self._head_bytes, self._rules.max_head_bytes):
+        if not self._in_body and self._head_bytes > self._rules.max_head_bytes:
             return ParseState.TOO_LARGE
-        if _exceeds(self._message_bytes, self._rules.max_message_bytes):
+        if self._message_bytes > self._rules.max_message_bytes:
             return ParseState.TOO_LARGE
         return ParseState.INCOMPLETE
 
@@ -161,15 +158,15 @@
         if self._ignores_rest:
             return
         name = name.lower()
-        if name in FRAMING_HEADERS:
-            self._framing_count += 1
-        if name == b"content-length" and self._rules.max_body_bytes is not None:
-            self._check_announced_length(int(value), self._rules.max_body_bytes)
         if name in self._rules.header_names:
             self._headers[name] = value
+        elif name in FRAMING_HEADERS:
+            self._framing_count += 1
+            if name == b"content-length" and self._rules.max_body_bytes < math.inf:
+                self._check_announced_length(int(value))
 
-    def _check_announced_length(self, length_bytes: int, limit_bytes: int) -> None:
-        if length_bytes > limit_bytes:
+    def _check_announced_length(self, length_bytes: int) -> None:
+        if length_bytes > self._rules.max_body_bytes:
             self._failure = ParseState.TOO_LARGE
 
     def on_headers_complete(self) -> None:
@@ -188,7 +185,7 @@
             return
         self._body_bytes += len(body)
         self._body_parts.append(body)
-        if _exceeds(self._body_bytes, self._rules.max_body_bytes):
+        if self._body_bytes > self._rules.max_body_bytes:
             self._failure = ParseState.TOO_LARGE
             self._body_parts.clear()
 
--- a/workspond/upstream/attempt.py
+++ b/workspond/upstream/attempt.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -12,7 +11,14 @@
 
 @dataclass(slots=True)
 class ServerResponse:
-    """What a server answered."""
+    """What a server answered.
+
+    Attributes:
+        status: The HTTP status.
+        body: The whole body.
+        content_type: The value of the Content-Type header, as it came.
+        load_report: The server's load report, if one came that could be read.
+    """
 
     status: int
     body: bytes
@@ -21,10 +27,10 @@
 
 
 class AttemptHandler(Protocol):
-    """Whoever has an attempt made: it renders the request, and is told how the attempt ended."""
+    """What the connection pool needs of whoever has an attempt made."""
 
     def may_send(self) -> bool:
-        """Whether the request may still be written; asked just before it would be."""
+        """Whether the request may still be written; called just before it would be."""
 
     def render_request(self) -> bytes:
         """The request's bytes, as they are to be written now."""
@@ -33,52 +39,71 @@
         """The attempt has ended; called exactly once."""
 
 
+class AttemptCarrier(Protocol):
+    """What an attempt is made with: a connection that is being opened, then the open connection."""
+
+    def close(self) -> None:
+        """Stop, and close the connection."""
+
+    def has_unread_data(self) -> bool:
+        """Whether bytes, or the end of the connection, have arrived that the event loop has not read."""
+
+
 class Attempt:
-    """One copy of a request on its way to one server; reports its outcome exactly once."""
+    """One attempt of a request at one server; reports its outcome exactly once.
+
+    Attributes:
+        handler: Who is told of the outcome.
+        carrier: What the attempt is made with; None before it has begun and after its end.
+        is_over: Whether the outcome has been reported.
+        is_written: Whether the whole request has been handed to the kernel.
+        is_timeout_extended: Whether the timeout has passed while a response was unread.
+    """
 
     __slots__ = (
-        "_cancel_io",
-        "_timer",
-        "is_over",
-        "overtime",
+        "_timeout_timer",
+        "carrier",
         "handler",
-        "unread",
-        "written",
+        "is_over",
+        "is_timeout_extended",
+        "is_written",
     )
 
     def __init__(self, handler: AttemptHandler) -> None:
         self.handler = handler
-        self.written = self.is_over = False
-        self.overtime = False  # its time was up with an answer unread
-        self._timer: asyncio.TimerHandle | None = None
-        self._cancel_io: Callable[[], object] | None = None
-        # Whether something of an answer waits to be read; nothing does while there is no connection.
-        self.unread: Callable[[], bool] = lambda: False
+        self.carrier: AttemptCarrier | None = None
+        self.is_over = False
+        self.is_written = False
+        self.is_timeout_extended = False
+        self._timeout_timer: asyncio.TimerHandle | None = None
 
-    def set_timer(self, timer: asyncio.TimerHandle) -> None:
-        self._timer = timer
+    def set_timeout_timer(self, timer: asyncio.TimerHandle) -> None:
+        """Note the timer that is to be cancelled at the end."""
+        self._timeout_timer = timer
 
-    def carried_by(self, cancel_io: Callable[[], object]) -> None:
-        """Note what stops the attempt where it is: its dial, or its connection."""
-        self._cancel_io = cancel_io
+    def has_unread_data(self) -> bool:
+        """Whether something of a response waits to be read."""
+        return self.carrier is not None and self.carrier.has_unread_data()
 
-    def end(self, result: Outcome, answer: ServerResponse | None = None) -> None:
+    def end(self, outcome: Outcome, response: ServerResponse | None = None) -> None:
         """Report the outcome, unless one was reported before."""
         if self.is_over:
             return
-        self.is_over, self._cancel_io = True, None
-        if self._timer is not None:
-            self._timer.cancel()
-        self.handler.attempt_ended(result, answer)
-
-    def abort(self, result: Outcome) -> None:
-        """Stop waiting: closing the connection is what tells the server."""
-        if not self.is_over:
-            cancel_io = self._cancel_io
-            if cancel_io is not None:
-                cancel_io()
-            self.end(result)
-
-    def timed_out(self) -> None:
-        # Not all of it written: the server can't have begun, as it waits for the last byte.
-        self.abort(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
+        self.is_over = True
+        self.carrier = None
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
+        self.handler.attempt_ended(outcome, response)
+
+    def abort(self, outcome: Outcome) -> None:
+        """Stop waiting. The connection is closed, as only that tells the server."""
+        if self.is_over:
+            return
+        if self.carrier is not None:
+            self.carrier.close()
+        self.end(outcome)
+
+    def time_out(self) -> None:
+        """Abort the attempt as its time is up."""
+        # A server waits for the last byte, so before that is written it can't have begun.
+        self.abort(Outcome.TIMEOUT if self.is_written else Outcome.CONNECT_FAILED)
--- a/workspond/upstream/connection.py
+++ b/workspond/upstream/connection.py
@@ -1,7 +1,7 @@
-"""A connection to a server: attempts go out on it and end in exactly one outcome each.
+"""A connection to a server: it carries attempts, each of which ends in exactly one outcome.
 
-What an outcome says about whether the attempt ran decides what may be sent again, so the line
-between 'never ran' and 'may have run' is drawn at the last byte written, as the protocol draws it.
+What an outcome says about whether the attempt ran decides whether the request may be sent again. The line
+between "never ran" and "may have run" is drawn at the last byte written, as the protocol page draws it.
 """
 
 from __future__ import annotations
@@ -10,198 +10,182 @@
 import select
 from typing import Protocol, cast
 
-import httptools
-
 from workspond.address import Address
 from workspond.clock import now_ms
 from workspond.http.limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
+from workspond.http.response_parser import ParsedResponse, ParseState, ResponseParser, ResponseRules
 from workspond.policy.events import Outcome
 from workspond.upstream.attempt import Attempt, ServerResponse
-from workspond.upstream.load_report import read_report
+from workspond.upstream.load_report import parse_load_report
 
-# A second answer may come some milliseconds after the first (join+brink: 0.8 to 3.6 ms). Nothing in it tells
-# which request it answers, so a connection is used again only after this.
 REUSE_DELAY_MS = 10.0
+"""How long a connection rests after a response before it is used again.
+
+A second response may come some milliseconds after the first (0.8 to 3.6 ms were seen). Nothing in it tells
+which request it answers, so it would be taken for the response to the next request on the connection.
+"""
+
+REJECTION_STATUSES = (503, 504)
+"""The statuses with which a server may say, by `X-Rejected: 1`, that it has not begun the request."""
+
+RESPONSE_RULES = ResponseRules(
+    header_names=frozenset((b"content-type", b"x-rejected", b"x-load-report")),
+    max_head_bytes=MAX_HEAD_BYTES,
+    max_body_bytes=MAX_BODY_BYTES,
+    allows_two_framings=False,
+    ignores_surplus=True,
+)
 
 
 class ConnectionOwner(Protocol):
-    """Whoever keeps the connections: the pool."""
+    """What a connection needs of the pool that it belongs to."""
+
+    def put_back(self, connection: ServerConnection) -> None:
+        """Keep a connection that carries no attempt for the next one."""
 
-    def put_back(self, connection: Connection) -> None:
-        """Keep a connection that carries nothing for the next attempt."""
+    def forget(self, connection: ServerConnection) -> None:
+        """Remove a connection that is closed, or is about to be."""
 
-    def forget(self, connection: Connection) -> None:
-        """Count a connection out."""
 
+class ServerConnection(asyncio.Protocol):
+    """A connection to a server, which carries one attempt at a time.
 
-class Connection(asyncio.Protocol):
-    """A connection to a server, which carries one attempt at a time."""
+    Attributes:
+        server_id: The server that it leads to.
+        address: The address that it was opened to.
+        idle_since_ms: When it was last put back to the pool, by `now_ms`.
+        reusable_at_ms: No attempt may be sent on it before this moment.
+    """
 
-    def __init__(self, pool: ConnectionOwner, server: int, address: Address) -> None:
-        self.server, self.address, self.idle_since = server, address, 0.0
-        self.reusable_from_ms = 0.0  # no request goes out on it before
-        self._pool = pool
+    def __init__(self, owner: ConnectionOwner, server_id: int, address: Address) -> None:
+        self.server_id = server_id
+        self.address = address
+        self.idle_since_ms = 0.0
+        self.reusable_at_ms = 0.0
+        self._owner = owner
         self._transport: asyncio.Transport
         self._attempt: Attempt | None = None
-        self._paused, self._lost = False, True  # no socket yet
-        self._start_answer()
+        self._is_open = False
+        self._is_writing_paused = False
+        self._parser = ResponseParser(RESPONSE_RULES)
 
-    def _start_answer(self) -> None:
-        self._parser = httptools.HttpResponseParser(self)
-        self._body: list[bytes] = []
-        self._size = self._head = self._status = 0
-        self._type: bytes | None = None
-        self._report: dict[str, float] | None = None
-        self._rejected = self._complete = self._in_body = self._spoilt = self._keep = False
-        self._framings = 0  # headers that tell where the body ends
-
-    # The socket
+    # Callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is none by class
-        self._lost = False
-        # Nothing may wait in the transport unseen: at a limit of 0 a write goes out at once, and
-        # `pause_writing` tells of what did not fit.
+        """The connection is open."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's do not inherit from it
+        self._is_open = True
+        # Nothing may wait in the transport unnoticed: with a limit of 0 a write goes out at once, and
+        # `pause_writing` is called if a part of it did not fit.
         self._transport.set_write_buffer_limits(0)
 
     def pause_writing(self) -> None:
-        self._paused = True
+        """A part of the request waits to be written."""
+        self._is_writing_paused = True
 
     def resume_writing(self) -> None:
-        self._paused = False
+        """The whole request has been written."""
+        self._is_writing_paused = False
         if self._attempt is not None:
-            self._attempt.written = True
+            self._attempt.is_written = True
 
     def data_received(self, data: bytes) -> None:
-        if self._attempt is None:  # nobody asked: the next answer on it could be somebody else's
-            return self.close()
-        try:
-            if not self._in_body:
-                self._head += len(data)
-            self._parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            self._spoilt = True
-        except httptools.HttpParserError:
-            self._spoilt = self._spoilt or not self._complete
-            self._keep = False  # more than the answer came: of no further use
-        if self._complete and not self._spoilt:
-            self._answered()
-        elif self._spoilt or (not self._in_body and self._head > MAX_HEAD_BYTES):
-            self._end(Outcome.ERROR, reuse=False)
+        """Take a part of the response."""
+        if self._attempt is None:  # no request is open: the next response might be that to another one
+            self.close()
+            return
+        match self._parser.feed(data):
+            case ParseState.COMPLETE:
+                self._complete_attempt()
+            case ParseState.MALFORMED | ParseState.TOO_LARGE:
+                self._end_attempt(Outcome.ERROR, can_reuse=False)
 
     def eof_received(self) -> None:
-        """The server's orderly end: that of an answer with no length; `connection_lost` reports the rest."""
-        if self._attempt is not None and self._in_body and not self._complete and not self._framings:
-            self._complete, self._keep = True, False
-            self._answered()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._lost = True
-        self._pool.forget(self)
+        """Take the server's orderly end, which completes a response with no length.
+
+        `connection_lost` follows and reports what is not complete.
+        """
+        if self._attempt is not None and self._parser.feed_eof():
+            self._complete_attempt()
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """End the attempt that it carried, if any."""
+        self._is_open = False
+        self._owner.forget(self)
         if self._attempt is not None:
-            self._end(Outcome.RESET if self._attempt.written else Outcome.CONNECT_FAILED, reuse=False)
+            outcome = Outcome.RESET if self._attempt.is_written else Outcome.CONNECT_FAILED
+            self._end_attempt(outcome, can_reuse=False)
+
+    # The pool's side
 
     def close(self) -> None:
-        """Close now, whatever it carries."""
-        self._pool.forget(self)
+        """Close it now, whatever it carries; an attempt on it is not told."""
+        self._owner.forget(self)
         self._attempt = None
-        if not self._lost:
+        if self._is_open:
             self._transport.abort()
 
-    # Attempts
-
-    def usable(self) -> bool:
-        """Whether a request may be written: open as far as known, and nothing unread.
+    def is_usable(self) -> bool:
+        """Whether a request may be written: it is open as far as known, and nothing is unread.
 
-        The loop reads only once a turn. An end or a stray byte that has come in since would turn a
-        request written now into a reset that may have run, so the socket itself is asked.
+        The event loop reads only once a turn. If an end or a stray byte has arrived since, a request written
+        now would end in a reset and might have run, so the socket itself is polled.
         """
-        if self._lost or self._transport.is_closing():
+        if not self._is_open or self._transport.is_closing():
             return False
-        return not self._readable()
+        return not self._is_readable()
 
-    def unread(self) -> bool:
-        """Whether bytes, or the end, have come that the loop has not read."""
-        return not self._lost and not self._transport.is_closing() and self._readable()
+    def has_unread_data(self) -> bool:
+        """Whether bytes, or the end of the connection, have arrived that the event loop has not read."""
+        return self._is_open and not self._transport.is_closing() and self._is_readable()
 
-    def _readable(self) -> bool:
+    def _is_readable(self) -> bool:
         poll = select.poll()
         poll.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def carry(self, attempt: Attempt) -> None:
-        """Write an attempt's request and wait for its answer."""
+    def send(self, attempt: Attempt) -> None:
+        """Write an attempt's request and wait for its response."""
         self._attempt = attempt
-        self._start_answer()
-        attempt.carried_by(self.close)
-        attempt.unread = self.unread
+        self._parser.start()
+        attempt.carrier = self
         self._transport.write(attempt.handler.render_request())
         if self._transport.is_closing():  # the write itself failed
-            self._end(Outcome.CONNECT_FAILED, reuse=False)
-        else:
-            attempt.written = not self._paused
-
-    def _answered(self) -> None:
-        body = b"".join(self._body)
-        answer = ServerResponse(self._status, body, self._type, self._report)
-        if self._status == 200:
-            result = Outcome.SUCCESS
+            self._end_attempt(Outcome.CONNECT_FAILED, can_reuse=False)
         else:
-            refused = self._status in (503, 504) and self._rejected
-            result = Outcome.REJECTED if refused else Outcome.ERROR
-        self._end(result, self._keep, answer)
-
-    def _end(self, result: Outcome, reuse: bool, answer: ServerResponse | None = None) -> None:
-        attempt, self._attempt = self._attempt, None
-        if reuse and not self._paused and self.usable():
-            self.reusable_from_ms = now_ms() + REUSE_DELAY_MS
-            self._pool.put_back(self)  # first: what the outcome sets off may use it
+            attempt.is_written = not self._is_writing_paused
+
+    def _complete_attempt(self) -> None:
+        parsed = self._parser.response()
+        load_report = parsed.headers.get(b"x-load-report")
+        response = ServerResponse(
+            parsed.status,
+            parsed.body,
+            parsed.headers.get(b"content-type"),
+            parse_load_report(load_report) if load_report is not None else None,
+        )
+        self._end_attempt(_outcome_of(parsed), can_reuse=self._parser.can_keep_alive, response=response)
+
+    def _end_attempt(
+        self, outcome: Outcome, *, can_reuse: bool, response: ServerResponse | None = None
+    ) -> None:
+        attempt = self._attempt
+        self._attempt = None
+        # The pool comes first: what the outcome sets off may use the connection.
+        if can_reuse and not self._is_writing_paused and self.is_usable():
+            self.reusable_at_ms = now_ms() + REUSE_DELAY_MS
+            self._owner.put_back(self)
         else:
             self.close()
         if attempt is not None:
-            attempt.end(result, answer)
-
-    # The parser's calls
+            attempt.end(outcome, response)
 
-    def on_message_begin(self) -> None:
-        if self._complete:  # a second answer that nobody asked for
-            self._keep = False
 
-    def on_header(self, name: bytes, value: bytes) -> None:
-        if self._complete:
-            return
-        match name.lower():
-            case b"transfer-encoding":
-                self._framings += 1
-            case b"content-length":
-                self._framings += 1
-                self._spoilt = self._spoilt or int(value) > MAX_BODY_BYTES
-            case b"content-type":
-                self._type = value
-            case b"x-rejected":
-                self._rejected = value.strip() == b"1"
-            case b"x-load-report":
-                self._report = read_report(value)
-
-    def on_headers_complete(self) -> None:
-        if not self._complete:
-            self._status, self._in_body = self._parser.get_status_code(), True
-            # With none the answer ends with the connection; of two, one lies.
-            self._spoilt = self._spoilt or self._framings > 1
-
-    def on_body(self, body: bytes) -> None:
-        if not self._complete:
-            self._size += len(body)
-            self._body.append(body)
-            if self._size > MAX_BODY_BYTES:
-                self._spoilt = True
-                self._body.clear()
-
-    def on_message_complete(self) -> None:
-        if self._complete:
-            return
-        if 100 <= self._status < 200:  # an interim answer: the real one follows
-            self._in_body, self._rejected, self._report = False, False, None
-            self._type, self._framings = None, 0
-            return
-        self._complete, self._keep = True, self._parser.should_keep_alive()
+def _outcome_of(response: ParsedResponse) -> Outcome:
+    """The outcome of an attempt by its response, as in the protocol page's table."""
+    if response.status == 200:
+        return Outcome.SUCCESS
+    is_marked = response.headers.get(b"x-rejected", b"").strip() == b"1"
+    if response.status in REJECTION_STATUSES and is_marked:
+        return Outcome.REJECTED
+    return Outcome.ERROR
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers."""
+"""The pool of connections to servers: it opens them, keeps idle ones, and sends attempts on them."""
 
 from __future__ import annotations
 
@@ -11,17 +11,48 @@
 from workspond.clock import now_ms
 from workspond.policy.events import Outcome
 from workspond.upstream.attempt import Attempt, AttemptHandler
-from workspond.upstream.connection import Connection
+from workspond.upstream.connection import ServerConnection
 
-IDLE_SHARE = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
-# What a dial fails with for want of something here, whatever the server does.
-OWN_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-TURN_S = 0.001  # a timer's least, after which the loop has read what had come before
-SWEEP_S = 1.0  # how often connections that have idled too long are looked for
+MAX_IDLE_FRACTION = 0.5
+"""How long a connection may be idle, as a fraction of the servers' own limit.
+
+A request that is written while the server closes the connection would end in a reset.
+"""
+
+LOCAL_SHORTAGE_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+)
+"""The errors of connecting that tell of a shortage in this process or machine, and nothing of the server."""
+
+LATE_READ_S = 0.001
+"""How long a timeout is put off for a response that is unread; timers are no finer than this.
+
+By then the event loop has read what had arrived before.
+"""
+
+SWEEP_INTERVAL_S = 1.0
+"""How often connections that have been idle for too long are looked for."""
 
 log = logging.getLogger("workspond")
 
 
+class ConnectingTask:
+    """A connection that is being opened, as the carrier of the attempt that it is for."""
+
+    __slots__ = ("_task",)
+
+    def __init__(self, task: asyncio.Task[None]) -> None:
+        self._task = task
+
+    def close(self) -> None:
+        """Stop connecting; the task closes whatever has come up."""
+        self._task.cancel()
+
+    def has_unread_data(self) -> bool:
+        """Whether something has arrived: never, as no request has been written."""
+        return False
+
+
 class ConnectionPool:
     """All connections to servers."""
 
@@ -32,17 +63,26 @@
         keepalive_ms: float,
         available_descriptors: Callable[[], int],
     ) -> None:
-        self._loop, self._available_descriptors = loop, available_descriptors
+        """Start with no connections.
+
+        Args:
+            loop: The event loop that runs them.
+            connect_timeout_ms: How long a connection may take to open.
+            keepalive_ms: After how long servers close an idle connection.
+            available_descriptors: How many more sockets the process may open.
+        """
+        self._loop = loop
+        self._available_descriptors = available_descriptors
         self._connect_timeout_s = connect_timeout_ms / 1000.0
-        self._idle_limit_ms = keepalive_ms * IDLE_SHARE
-        self._idle: dict[int, list[Connection]] = {}
-        self._open: set[Connection] = set()
-        self._dials: set[asyncio.Task[None]] = set()
-        loop.call_later(SWEEP_S, self._sweep)
+        self._max_idle_ms = keepalive_ms * MAX_IDLE_FRACTION
+        self._idle: dict[int, list[ServerConnection]] = {}  # by server, the least recently used first
+        self._open: set[ServerConnection] = set()
+        self._connecting: set[asyncio.Task[None]] = set()
+        loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_count(self) -> int:
-        """Sockets in use, those that are being opened too."""
-        return len(self._open) + len(self._dials)
+        """How many sockets are in use, with those that are being opened."""
+        return len(self._open) + len(self._connecting)
 
     def send(
         self,
@@ -55,111 +95,138 @@
     ) -> Attempt:
         """Start an attempt; its handler may be told of its end before this returns.
 
-        With `new_connection` it gets a connection of its own. The handler renders the request when it is written,
-        as connecting may take most of the time there is.
+        The handler renders the request when it is written, as connecting may take most of the time there is.
+
+        Args:
+            server_id: The server.
+            address: Where it listens.
+            handler: Renders the request and takes the outcome.
+            timeout_ms: How long the attempt may take, connecting included.
+            new_connection: Whether it must have a connection of its own, not one that was idle.
         """
         attempt = Attempt(handler)
         self._set_timeout(max(0.0, timeout_ms) / 1000.0, attempt)
-        idle = self._idle.get(server_id, [])
-        if new_connection and idle:
-            idle[0].close()  # the new one takes its place, or they would add up
-        connection = None if new_connection else self._take_idle(server_id, address)
+        if new_connection:
+            self._close_least_recently_used(server_id)  # the new one takes its place, or they would add up
+            connection = None
+        else:
+            connection = self._take_idle(server_id, address)
         if connection is not None:
-            connection.carry(attempt)
-            return attempt
-        if self._available_descriptors() <= 0 and not self.close_oldest_idle():
-            # Our own shortage: it never ran, and says nothing about the server.
+            connection.send(attempt)
+        elif self._available_descriptors() <= 0 and not self.close_oldest_idle():
+            # The shortage is this process's own: the attempt never ran, and says nothing about the server.
             attempt.end(Outcome.NOT_SENT)
-            return attempt
-        dial = self._loop.create_task(self._dial(attempt, server_id, address))
-        self._dials.add(dial)
-        dial.add_done_callback(self._dials.discard)
-        attempt.carried_by(dial.cancel)
+        else:
+            self._start_connecting(attempt, server_id, address)
         return attempt
 
-    def _set_timeout(self, wait_s: float, attempt: Attempt) -> None:
-        attempt.set_timer(self._loop.call_later(wait_s, self._on_timeout, attempt))
+    def _start_connecting(self, attempt: Attempt, server_id: int, address: Address) -> None:
+        task = self._loop.create_task(self._connect(attempt, server_id, address))
+        self._connecting.add(task)
+        task.add_done_callback(self._connecting.discard)
+        attempt.carrier = ConnectingTask(task)
+
+    def _set_timeout(self, delay_s: float, attempt: Attempt) -> None:
+        attempt.set_timeout_timer(self._loop.call_later(delay_s, self._on_timeout, attempt))
 
     def _on_timeout(self, attempt: Attempt) -> None:
-        """Give an attempt up, unless its answer came in time and only the loop is late in reading it.
+        """Time an attempt out, unless its response came in time and the event loop only reads it late.
 
-        Timers may run before what came meanwhile is read: after a turn longer than the time-out, all that was
-        answered in it would count as lost, and be sent again.
+        Timers may run before what arrived meanwhile is read: after a turn of the loop that is longer than the
+        timeout, all that was answered in it would count as lost, and be sent again.
         """
-        if not attempt.overtime and attempt.unread():
-            attempt.overtime = True
-            self._set_timeout(TURN_S, attempt)
+        if not attempt.is_timeout_extended and attempt.has_unread_data():
+            attempt.is_timeout_extended = True
+            self._set_timeout(LATE_READ_S, attempt)
         else:
-            attempt.timed_out()
+            attempt.time_out()
+
+    def _take_idle(self, server_id: int, address: Address) -> ServerConnection | None:
+        """The most recently used connection that may be used again, so that the others can expire.
 
-    def _take_idle(self, server: int, address: Address) -> Connection | None:
-        """The most recently used that may be used again, so that the others can grow old and go."""
-        now, idle = now_ms(), self._idle.get(server, [])
-        for connection in [c for c in reversed(idle) if c.reusable_from_ms <= now]:
-            if connection.usable() and connection.address == address:
+        Those that are found broken, or lead to an old address, are closed on the way.
+        """
+        now = now_ms()
+        idle = self._idle.get(server_id, [])
+        for connection in [each for each in reversed(idle) if each.reusable_at_ms <= now]:
+            if connection.is_usable() and connection.address == address:
                 idle.remove(connection)
                 return connection
             connection.close()
         return None
 
-    async def _dial(self, attempt: Attempt, server: int, address: Address) -> None:
-        connection = Connection(self, server, address)
-        result, kept = Outcome.CONNECT_FAILED, False
+    async def _connect(self, attempt: Attempt, server_id: int, address: Address) -> None:
+        """Open a connection for an attempt and send it there; report the outcome if it could not be sent."""
+        connection = ServerConnection(self, server_id, address)
         try:
-            async with asyncio.timeout(self._connect_timeout_s):
-                await self._loop.create_connection(lambda: connection, *address)
-            if connection.usable():  # else it came up and broke at once
-                self._open.add(connection)
-                kept = True
-                # Connecting took time: the request may have ended, its server may have been called off.
-                if not attempt.is_over and attempt.handler.may_send():
-                    return connection.carry(attempt)
-                self.put_back(connection)
-                result = Outcome.NOT_SENT
-        except OSError as problem:  # a time-out is one too
-            if problem.errno in OWN_SHORTAGE:
-                result = Outcome.NOT_SENT
+            outcome = await self._connect_and_send(connection, attempt)
+        except OSError as error:  # a timeout is one too
+            is_local = error.errno in LOCAL_SHORTAGE_ERRNOS
+            outcome = Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED
         except Exception:
-            log.exception("connecting to a server")
-            result = Outcome.RESET if attempt.written else Outcome.CONNECT_FAILED
+            log.exception("connecting to a server failed: endpoint=%s:%d", *address)
+            outcome = Outcome.RESET if attempt.is_written else Outcome.CONNECT_FAILED
         finally:
-            if not kept:  # called off or broken: what came up of it belongs to nobody
+            if connection not in self._open:  # cancelled or broken: nobody uses what came up of it
                 connection.close()
-        attempt.end(result)
+        if outcome is not None:
+            attempt.end(outcome)
+
+    async def _connect_and_send(self, connection: ServerConnection, attempt: Attempt) -> Outcome | None:
+        """Open a connection and send an attempt on it; returns the outcome, or None if it has been sent."""
+        async with asyncio.timeout(self._connect_timeout_s):
+            await self._loop.create_connection(lambda: connection, *connection.address)
+        if not connection.is_usable():  # it came up and broke at once
+            return Outcome.CONNECT_FAILED
+        self._open.add(connection)
+        # Connecting took time: the request may have ended, or its server may be draining by now.
+        if attempt.is_over or not attempt.handler.may_send():
+            self.put_back(connection)
+            return Outcome.NOT_SENT
+        connection.send(attempt)
+        return None
 
-    def put_back(self, connection: Connection) -> None:
-        """Keep a connection that carries nothing for the next attempt."""
-        connection.idle_since = now_ms()
-        self._idle.setdefault(connection.server, []).append(connection)
+    def put_back(self, connection: ServerConnection) -> None:
+        """Keep a connection that carries no attempt for the next one."""
+        connection.idle_since_ms = now_ms()
+        self._idle.setdefault(connection.server_id, []).append(connection)
 
-    def forget(self, connection: Connection) -> None:
-        """Count a connection out."""
+    def forget(self, connection: ServerConnection) -> None:
+        """Remove a connection that is closed, or is about to be."""
         self._open.discard(connection)
-        idle = self._idle.get(connection.server)
+        idle = self._idle.get(connection.server_id)
         if idle and connection in idle:
             idle.remove(connection)
 
-    def close_idle(self, server: int) -> None:
-        """Close what carries nothing to a server."""
-        for connection in self._idle.pop(server, []):
+    def close_idle(self, server_id: int) -> None:
+        """Close the idle connections to a server."""
+        for connection in self._idle.pop(server_id, []):
             connection.close()
 
     def close_oldest_idle(self) -> bool:
-        """Give back a socket, if one carries nothing."""
-        oldest = min((idle[0] for idle in self._idle.values() if idle), key=_age, default=None)
-        if oldest is not None:
-            oldest.close()
-        return oldest is not None
+        """Free a socket; returns whether there was an idle connection to close."""
+        candidates = (idle[0] for idle in self._idle.values() if idle)
+        oldest = min(candidates, key=_idle_since_ms, default=None)
+        if oldest is None:
+            return False
+        oldest.close()
+        return True
+
+    def _close_least_recently_used(self, server_id: int) -> None:
+        idle = self._idle.get(server_id)
+        if idle:
+            idle[0].close()
 
     def _sweep(self) -> None:
-        self._loop.call_later(SWEEP_S, self._sweep)
-        before = now_ms() - self._idle_limit_ms
-        for server, idle in list(self._idle.items()):
-            while idle and idle[0].idle_since < before:
+        """Close the connections that have been idle for too long."""
+        self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        idle_before_ms = now_ms() - self._max_idle_ms
+        for server_id, idle in list(self._idle.items()):
+            while idle and idle[0].idle_since_ms < idle_before_ms:
                 idle[0].close()
             if not idle:
-                del self._idle[server]
+                del self._idle[server_id]
 
 
-def _age(connection: Connection) -> float:
-    return connection.idle_since
+def _idle_since_ms(connection: ServerConnection) -> float:
+    return connection.idle_since_ms
