--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -1,9 +1,10 @@
-"""The gate before a server's connection: what changed is held back, a broken rule is counted too."""
+"""The check before an attempt is written: changes block it, and a broken invariant is counted too."""
 
 from __future__ import annotations
 
 import logging
 import math
+from dataclasses import replace
 from pathlib import Path
 
 import pytest
@@ -13,63 +14,72 @@
 from workspond.clock import now_ms
 from workspond.policy.events import Outcome
 from workspond.policy.retry_policy import RetryPolicy
-from workspond.upstream.send_guard import AttemptHistory, SendGuard, SendRefusal
+from workspond.upstream.send_guard import AttemptHistory, PendingSend, SendGuard, SendRefusal
 
-SERVER, ADDRESS = 7, ("127.0.0.1", 9000)
+SERVER_ID = 7
+ADDRESS = ("127.0.0.1", 9000)
 
 
+@pytest.fixture
 def guard() -> SendGuard:
-    return SendGuard(settings(), {SERVER}, {SERVER: ADDRESS})
+    return SendGuard(settings(), {SERVER_ID}, {SERVER_ID: ADDRESS})
 
 
-def refusal(
-    of: SendGuard, attempts: AttemptHistory, cls: str = "safe", **changes: float
-) -> SendRefusal | None:
-    latest_ms = changes.get("latest_ms", math.inf)
-    return of.check("a", cls, attempts, int(changes.get("server", SERVER)), ADDRESS, latest_ms)
+def pending(history: AttemptHistory, class_name: str = "safe") -> PendingSend:
+    return PendingSend("a", class_name, history, SERVER_ID, ADDRESS, math.inf)
 
 
-def after(result: Outcome) -> AttemptHistory:
-    attempts = AttemptHistory()
-    attempts.record_write()
-    attempts.record_end(guard().may_have_run(result))
-    return attempts
+def history_after(guard: SendGuard, outcome: Outcome) -> AttemptHistory:
+    history = AttemptHistory()
+    history.record_write()
+    history.record_end(may_have_run=guard.may_have_run(outcome))
+    return history
 
 
-def test_what_has_changed_since_a_decision_is_held_back_and_breaks_nothing() -> None:
-    of = guard()
-    assert refusal(of, AttemptHistory()) is None
-    assert refusal(of, AttemptHistory(), server=8) is SendRefusal.NOT_IN_SERVICE
-    assert refusal(of, AttemptHistory(), latest_ms=now_ms() - 1.0) is SendRefusal.WINDOW_OVER
-    assert of.check("a", "safe", AttemptHistory(), SERVER, ("127.0.0.1", 1), math.inf) is SendRefusal.MOVED
-    assert not of.broken
+def test_what_has_changed_since_a_decision_is_held_back_and_breaks_nothing(guard: SendGuard) -> None:
+    send = pending(AttemptHistory())
+    assert guard.check(send) is None
+    assert guard.check(replace(send, server_id=8)) is SendRefusal.NOT_IN_SERVICE
+    assert guard.check(replace(send, send_until_ms=now_ms() - 1.0)) is SendRefusal.RETRY_WINDOW_OVER
+    assert guard.check(replace(send, address=("127.0.0.1", 1))) is SendRefusal.ADDRESS_CHANGED
+    assert not guard.broken
 
 
-@pytest.mark.parametrize("result", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SUCCESS])
-def test_an_unsafe_request_that_may_have_run_is_not_written_again(result: Outcome) -> None:
-    of = guard()
-    assert refusal(of, after(result), "unsafe") is SendRefusal.UNSAFE_REPEAT
-    assert refusal(of, after(result), "safe") is None
-    assert refusal(of, after(Outcome.REJECTED), "unsafe") is None
-    assert of.broken == {SendRefusal.UNSAFE_REPEAT: 1}
+@pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SUCCESS])
+def test_an_unsafe_request_that_may_have_run_is_not_written_again(guard: SendGuard, outcome: Outcome) -> None:
+    history = history_after(guard, outcome)
+    assert guard.check(pending(history, "unsafe")) is SendRefusal.NON_IDEMPOTENT_RETRY
+    assert guard.check(pending(history, "safe")) is None
+    assert guard.check(pending(history_after(guard, Outcome.REJECTED), "unsafe")) is None
+    assert guard.broken == {SendRefusal.NON_IDEMPOTENT_RETRY: 1}
 
 
-def test_two_attempts_at_once_and_too_many_are_counted() -> None:
-    of, attempts = guard(), AttemptHistory()
-    attempts.record_write()
-    assert refusal(of, attempts) is SendRefusal.OVERLAP
+def test_two_attempts_at_once_and_too_many_are_counted(guard: SendGuard) -> None:
+    history = AttemptHistory()
+    history.record_write()
+    assert guard.check(pending(history)) is SendRefusal.OVERLAPPING_ATTEMPT
     for _ in range(settings().max_attempts):
-        attempts.record_end(ran=True)
-        attempts.record_write()
-    attempts.record_end(ran=True)
-    assert refusal(of, attempts) is SendRefusal.TOO_MANY
-    assert of.broken.total() == 2
+        history.record_end(may_have_run=True)
+        history.record_write()
+    history.record_end(may_have_run=True)
+    assert guard.check(pending(history)) is SendRefusal.TOO_MANY_ATTEMPTS
+    assert guard.broken.total() == 2
+
+
+def test_a_broken_invariant_is_logged_with_its_fields(
+    guard: SendGuard, caplog: pytest.LogCaptureFixture
+) -> None:
+    guard.check(pending(history_after(guard, Outcome.RESET), "unsafe"))
+    assert caplog.messages == [
+        "invariant broken: request=a class=unsafe endpoint=127.0.0.1:9000 written=1 "
+        'reason="earlier attempt of a non-idempotent request may have run" count=1'
+    ]
 
 
 def test_a_decision_that_breaks_a_rule_is_not_carried_out_and_is_told(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A module that sends unsafe requests again: the server sees one, and the log says so."""
+    """A policy that retries non-idempotent requests: the server sees one attempt, and the log says so."""
     caplog.set_level(logging.INFO)
     monkeypatch.setattr(RetryPolicy, "repeat_deadline_at_ms", lambda self, call: math.inf)
 
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -51,7 +51,7 @@
 from workspond.policy.token_bucket import TokenBucket
 from workspond.upstream.attempt import Attempt, ServerResponse
 from workspond.upstream.connection_pool import ConnectionPool
-from workspond.upstream.send_guard import AttemptHistory, SendGuard, SendRefusal
+from workspond.upstream.send_guard import AttemptHistory, PendingSend, SendGuard, SendRefusal
 
 MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
 # A planned end. Connections go on coming for 0.4 s after SIGTERM at least; SIGKILL follows no sooner than
@@ -427,7 +427,7 @@
         live = outgoing.request
         self._attempts.pop((live.key, outgoing.number), None)
         if outgoing.written:
-            live.history.record_end(self._guard.may_have_run(result))
+            live.history.record_end(may_have_run=self._guard.may_have_run(result))
         self.counters.increment(CountedEvent.ATTEMPT_ENDED, result.name)
         took_ms = now_ms() - outgoing.started_at_ms
         began_ms = outgoing.started_at_ms - live.received_at_ms
@@ -448,13 +448,13 @@
     ) -> SendRefusal | None:
         """Why an attempt must not be written now; asked when it is decided, and when a dial has ended."""
         if live is None or live.key not in self._live:
-            return SendRefusal.ANSWERED
+            return SendRefusal.REQUEST_ENDED
         if live.receiver.has_disconnected():
             self.abandon(live)
-            return SendRefusal.CALLER_GONE
+            return SendRefusal.CLIENT_DISCONNECTED
         message = live.request
         reason = self._guard.check(
-            message.request_id, message.class_name, live.history, server, address, latest_ms
+            PendingSend(message.request_id, message.class_name, live.history, server, address, latest_ms)
         )
         if reason is not None:
             self.counters.increment(CountedEvent.ATTEMPT_BLOCKED, reason.value)
--- a/workspond/upstream/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -1,7 +1,8 @@
 """The last check before an attempt is written to a server's connection.
 
-What was decided may hold no more when a connection has come up: then the attempt is held back and ends as
-never run. What the decisions must never ask for is held back too, counted, and told in the log.
+What was decided may no longer hold when a connection has been opened: then the attempt is not written and
+ends as never run. What the policy must never decide is not written either; it is counted, and logged as a
+broken invariant.
 """
 
 from __future__ import annotations
@@ -9,6 +10,7 @@
 import logging
 from collections import Counter
 from collections.abc import Mapping, Set
+from dataclasses import dataclass
 from enum import Enum
 
 from workspond.address import Address
@@ -22,27 +24,36 @@
 class SendRefusal(Enum):
     """Why an attempt is not written."""
 
-    ANSWERED = "its request has ended"
-    CALLER_GONE = "its caller has gone"
-    NOT_IN_SERVICE = "its server is not in service"
-    MOVED = "its server has another address now"
-    WINDOW_OVER = "the window for repeats is over"
-    UNSAFE_REPEAT = "an earlier attempt of an unsafe request may have run"
-    OVERLAP = "an earlier attempt is still out"
-    TOO_MANY = "all attempts that are allowed have been made"
+    REQUEST_ENDED = "request ended"
+    CLIENT_DISCONNECTED = "client disconnected"
+    NOT_IN_SERVICE = "server not in service"
+    ADDRESS_CHANGED = "server address changed"
+    RETRY_WINDOW_OVER = "retry window over"
+    NON_IDEMPOTENT_RETRY = "earlier attempt of a non-idempotent request may have run"
+    OVERLAPPING_ATTEMPT = "earlier attempt in flight"
+    TOO_MANY_ATTEMPTS = "maximum of attempts reached"
 
 
-BROKEN_INVARIANTS = frozenset((SendRefusal.UNSAFE_REPEAT, SendRefusal.OVERLAP, SendRefusal.TOO_MANY))
+BROKEN_INVARIANTS = frozenset(
+    (SendRefusal.NON_IDEMPOTENT_RETRY, SendRefusal.OVERLAPPING_ATTEMPT, SendRefusal.TOO_MANY_ATTEMPTS)
+)
+"""The refusals that no change since the decision explains: the policy must not have decided to send."""
 
 
 class AttemptHistory:
-    """What has been written of one request, and what became of it."""
+    """What has been written of one request, and what became of it.
+
+    Attributes:
+        written: How many attempts have been written.
+        in_flight: How many of these have no outcome yet.
+        may_have_run: Whether the outcome of one of them does not prove that it never ran.
+    """
 
     __slots__ = ("in_flight", "may_have_run", "written")
 
     def __init__(self) -> None:
-        self.written = 0  # attempts
-        self.in_flight = 0  # of these, without an outcome
+        self.written = 0
+        self.in_flight = 0
         self.may_have_run = False
 
     def record_write(self) -> None:
@@ -50,56 +61,101 @@
         self.written += 1
         self.in_flight += 1
 
-    def record_end(self, ran: bool) -> None:
-        """A written attempt has ended, and may have run or has not."""
+    def record_end(self, *, may_have_run: bool) -> None:
+        """A written attempt has ended."""
         self.in_flight -= 1
-        self.may_have_run = self.may_have_run or ran
+        self.may_have_run = self.may_have_run or may_have_run
+
+
+@dataclass(slots=True)
+class PendingSend:
+    """An attempt that is about to be written.
+
+    Attributes:
+        request_id: The client's X-Call-Id, for the log.
+        class_name: The class of the request.
+        history: The earlier attempts of the request.
+        server_id: The server that it is for.
+        address: The address that its connection leads to.
+        send_until_ms: The last moment to write it, by `now_ms`; infinity if there is none.
+    """
+
+    request_id: str
+    class_name: str
+    history: AttemptHistory
+    server_id: int
+    address: Address | None
+    send_until_ms: float
 
 
 class SendGuard:
-    """One gate for all attempts, by the node's own books and not the decision module's."""
+    """Checks all attempts by records of the node's own, not by those of the policy.
+
+    Attributes:
+        broken: How often each invariant was broken.
+    """
 
     def __init__(self, settings: Settings, in_service: Set[int], addresses: Mapping[int, Address]) -> None:
-        """`in_service` and `addresses` are the node's own, as they change."""
-        self._settings, self._in_service, self._addresses = settings, in_service, addresses
-        self._repeat = {cls.name: cls.idempotency for cls in settings.classes}
+        """Check by these settings and sets.
+
+        Args:
+            settings: The node's settings.
+            in_service: The servers that take requests. The node changes this set while it runs.
+            addresses: The addresses of all servers. The node changes this mapping while it runs.
+        """
+        self._settings = settings
+        self._in_service = in_service
+        self._addresses = addresses
+        self._idempotency = {each.name: each.idempotency for each in settings.classes}
         self.broken: Counter[SendRefusal] = Counter()
 
-    def may_have_run(self, result: Outcome) -> bool:
-        """Whether a written attempt that ended so may have run."""
-        if result is Outcome.REJECTED:
+    def may_have_run(self, outcome: Outcome) -> bool:
+        """Whether a written attempt with this outcome may have run."""
+        if outcome is Outcome.REJECTED:
             return self._settings.rejected_may_have_run
-        return result not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-
-    def check(
-        self,
-        id: str,
-        cls: str,
-        attempts: AttemptHistory,
-        server: int,
-        address: Address | None,
-        latest_ms: float,
-    ) -> SendRefusal | None:
-        """Why an attempt must not be written now; None: it may.
-
-        `address` is that of the connection, `latest_ms` the last moment for a repeat by `now_ms`.
+        return outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+
+    def check(self, send: PendingSend) -> SendRefusal | None:
+        """Why an attempt must not be written now; None if it may be.
+
+        A broken invariant is counted and logged.
         """
-        reason = self._changed(server, address, latest_ms) or self._broken_rule(cls, attempts)
-        if reason in BROKEN_INVARIANTS:
-            self.broken[reason] += 1
-            log.error("invariant broken (%d so far): request %s: %s", self.broken.total(), id, reason.value)
-        return reason
-
-    def _changed(self, server: int, address: Address | None, latest_ms: float) -> SendRefusal | None:
-        if server not in self._in_service:
+        refusal = self._find_change(send) or self._find_broken_invariant(send)
+        if refusal in BROKEN_INVARIANTS:
+            self._report_broken_invariant(send, refusal)
+        return refusal
+
+    def _find_change(self, send: PendingSend) -> SendRefusal | None:
+        """What has changed since the decision to send."""
+        if send.server_id not in self._in_service:
             return SendRefusal.NOT_IN_SERVICE
-        if self._addresses.get(server) != address:
-            return SendRefusal.MOVED
-        return SendRefusal.WINDOW_OVER if now_ms() > latest_ms else None
-
-    def _broken_rule(self, cls: str, attempts: AttemptHistory) -> SendRefusal | None:
-        if attempts.in_flight and not self._settings.parallel_attempts:
-            return SendRefusal.OVERLAP
-        if attempts.may_have_run and self._repeat[cls] is Idempotency.NON_IDEMPOTENT:
-            return SendRefusal.UNSAFE_REPEAT
-        return SendRefusal.TOO_MANY if attempts.written >= self._settings.max_attempts else None
+        if self._addresses.get(send.server_id) != send.address:
+            return SendRefusal.ADDRESS_CHANGED
+        if now_ms() > send.send_until_ms:
+            return SendRefusal.RETRY_WINDOW_OVER
+        return None
+
+    def _find_broken_invariant(self, send: PendingSend) -> SendRefusal | None:
+        """Which rule the decision to send breaks."""
+        history = send.history
+        if history.in_flight and not self._settings.parallel_attempts:
+            return SendRefusal.OVERLAPPING_ATTEMPT
+        if history.may_have_run and self._idempotency[send.class_name] is Idempotency.NON_IDEMPOTENT:
+            return SendRefusal.NON_IDEMPOTENT_RETRY
+        if history.written >= self._settings.max_attempts:
+            return SendRefusal.TOO_MANY_ATTEMPTS
+        return None
+
+    def _report_broken_invariant(self, send: PendingSend, refusal: SendRefusal) -> None:
+        self.broken[refusal] += 1
+        host, port = send.address or ("", 0)
+        log.error(
+            'invariant broken: request=%s class=%s endpoint=%s:%d written=%d reason="%s" count=%d',
+            send.request_id,
+            send.class_name,
+            host,
+            port,
+            send.history.written,
+            refusal.value,
+            self.broken.total(),
+        )
