--- a/tests/test_slow_lists.py
+++ b/tests/test_slow_lists.py
@@ -86,7 +86,7 @@
 def test_an_answer_that_trickles_without_end_is_given_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(agent_link, "LONGEST_ANSWER_S", 1.5)
+    monkeypatch.setattr(agent_link, "MAX_CALL_S", 1.5)
 
     async def test() -> None:
         server, source = Server(), SlowRegistry()
--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -3,203 +3,245 @@
 from __future__ import annotations
 
 import asyncio
+from enum import StrEnum
 from typing import Protocol, cast
 
-import httptools
-
 from workspond.address import Address
+from workspond.http.response_parser import ParsedResponse, ParseState, ResponseParser, ResponseRules
 
-CONNECT_S = 0.5  # for a connection to come up; a cut link would use up the whole of a call's time
-SILENCE_S = 1.0  # an answer that has begun is waited for as long as more of it comes within this
-LONGEST_ANSWER_S = 15.0  # from the call to its end, however steadily it comes: two fit into a start
-MAX_RESPONSE_BYTES = 8 * 1024 * 1024  # bytes
+CONNECT_S = 0.5
+"""How long a connection may take to open. A broken link would otherwise use up the whole time of a call."""
 
+STALL_TIMEOUT_S = 1.0
+"""A response that has begun is waited for as long as more of it arrives within this time."""
 
-class AgentClientOwner(Protocol):
-    """Whoever makes the calls."""
+MAX_CALL_S = 15.0
+"""How long a call may take, however steadily its response arrives; two such calls fit into a start."""
 
-    def response_received(self, link: AgentClient, status: int, body: bytes) -> None:
-        """A call has its whole answer; the next may be made."""
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
+"""The limit of a response, with its head."""
 
-    def call_failed(self, link: AgentClient, why: str) -> None:
-        """A call has failed; the next may be made."""
+RESPONSE_RULES = ResponseRules(max_message_bytes=MAX_RESPONSE_BYTES)
 
-    def call_overdue(self, link: AgentClient) -> None:
-        """Nothing of an answer has come in the call's time; it may still come."""
 
+class CallFailure(StrEnum):
+    """Why a call has failed. The text is counted and logged."""
 
-class _Connection(asyncio.Protocol):
-    """A connection to an agent; tells its link of bytes, whole answers and its end."""
+    CANNOT_CONNECT = "can't connect"
+    MALFORMED_RESPONSE = "malformed response"
+    RESPONSE_TOO_LARGE = "response too large"
+    RESPONSE_STALLED = "response stalled"
+    UNEXPECTED_RESPONSE = "response without a call"
+    CONNECTION_LOST = "connection lost"
 
-    def __init__(self, link: AgentClient) -> None:
-        self._link = link
-        self.transport: asyncio.Transport | None = None
-        self._start_answer()
 
-    def _start_answer(self) -> None:
-        self._parser = httptools.HttpResponseParser(self)
-        self._body: list[bytes] = []
-        self._size = 0
-        self._in_body = False
-        self._framed = False  # a header tells where the body ends
-        self._complete = self.keep_alive = False
+class AgentClientOwner(Protocol):
+    """Whoever makes the calls."""
 
-    def ask(self, request: bytes) -> None:
-        """Write a request; what comes from now on is its answer."""
-        self._start_answer()
-        assert self.transport is not None
-        self.transport.write(request)
+    def response_received(self, client: AgentClient, status: int, body: bytes) -> None:
+        """A call has its complete response; the next one may be made."""
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is none by class
+    def call_failed(self, client: AgentClient, reason: str) -> None:
+        """A call has failed; the next one may be made.
 
-    def data_received(self, data: bytes) -> None:
-        self._size += len(data)
-        try:
-            self._parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            return self._link.broken(self, "an answer that can't be read")
-        if self._complete:
-            self._answered()
-        elif self._size > MAX_RESPONSE_BYTES:
-            self._link.broken(self, "an answer without end")
-        else:
-            self._link.progressed(self)
+        Args:
+            client: The client that made the call.
+            reason: A text of `CallFailure`, perhaps with details after a colon.
+        """
 
-    def _answered(self) -> None:
-        self._link.complete(self, self._parser.get_status_code(), b"".join(self._body))
+    def call_overdue(self, client: AgentClient) -> None:
+        """Nothing of a response has arrived in the call's time; it may still arrive."""
 
-    def eof_received(self) -> None:
-        """The agent's orderly end, which ends an answer with no length; a reset never gets here."""
-        if self._in_body and not self._framed and not self._complete:
-            self._complete = True
-            self._answered()
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._link.broken(self, "the connection broke")
+class AgentConnection(asyncio.Protocol):
+    """A connection to an agent, which reports responses, their progress, and its own end to its client."""
 
-    # The parser's calls
+    def __init__(self, client: AgentClient) -> None:
+        self._client = client
+        self._transport: asyncio.Transport
+        self._is_connected = False
+        self._parser = ResponseParser(RESPONSE_RULES)
 
-    def on_body(self, body: bytes) -> None:
-        self._body.append(body)
+    def send(self, request: bytes) -> None:
+        """Write a request; what is received from now on is its response."""
+        self._parser.start()
+        self._transport.write(request)
 
-    def on_header(self, name: bytes, value: bytes) -> None:
-        self._framed = self._framed or name.lower() in (b"content-length", b"transfer-encoding")
+    def close(self) -> None:
+        """Close the connection now, if it was ever open."""
+        if self._is_connected:
+            self._transport.abort()
 
-    def on_headers_complete(self) -> None:
-        self._in_body = True
+    # Callbacks of the transport
 
-    def on_message_complete(self) -> None:
-        if 100 <= self._parser.get_status_code() < 200:  # an interim answer: the real one follows
-            self._in_body = self._framed = False
-            return
-        self._complete, self.keep_alive = True, self._parser.should_keep_alive()
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's do not inherit from it
+        self._is_connected = True
+
+    def data_received(self, data: bytes) -> None:
+        """Take a part of a response."""
+        match self._parser.feed(data):
+            case ParseState.COMPLETE:
+                self._report_response()
+            case ParseState.MALFORMED:
+                self._client.connection_failed(self, CallFailure.MALFORMED_RESPONSE)
+            case ParseState.TOO_LARGE:
+                self._client.connection_failed(self, CallFailure.RESPONSE_TOO_LARGE)
+            case ParseState.INCOMPLETE:
+                self._client.response_progressed(self)
+
+    def eof_received(self) -> None:
+        """Take the agent's orderly end, which completes a response with no length; a reset gets no call here."""
+        if self._parser.feed_eof():
+            self._report_response()
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Report the end of the connection."""
+        self._client.connection_failed(self, CallFailure.CONNECTION_LOST)
+
+    def _report_response(self) -> None:
+        response = self._parser.response()
+        self._client.response_completed(self, response, can_keep_alive=self._parser.can_keep_alive)
 
 
 class AgentClient:
-    """Calls to the agent at one address."""
+    """Calls to the agent at one address.
+
+    Attributes:
+        address: Where the agent listens.
+        is_busy: Whether a call is in flight.
+        is_overdue: Whether the time of the last call has passed with nothing of its response received.
+        last_index: The version of the endpoint list that this agent sent last.
+        needs_complete_list: Whether the next call has to get the complete list. The first one does: versions
+            need not be those that another agent sent or an earlier process received, and unlike a watch such a
+            call is answered at once where nothing has changed.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, owner: AgentClientOwner) -> None:
         self.address = address
-        self._loop, self._owner = loop, owner
-        self._connection: _Connection | None = None
-        self._dial: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = None
-        self._began_s = self._heard_s = 0.0  # the call, and the last of its answer so far; 0.0: nothing
-        self.is_busy = False  # a call is out
-        self.is_overdue = False  # its time is over, and nothing of an answer has come
-        self.last_index = 0  # the version of the list as this agent told it last
-        # The next call asks for the whole list. The first does: versions need not be those that another agent
-        # or an earlier process heard, and unlike a watch it is answered at once where nothing has changed.
+        self.is_busy = False
+        self.is_overdue = False
+        self.last_index = 0
         self.needs_complete_list = True
-
-    def call(self, target: str, limit_s: float) -> None:
-        """Make a call; its owner is told how it ends, and if its answer has not begun within `limit_s`."""
-        request = f"GET {target} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n\r\n".encode()
-        self.is_busy, self.is_overdue = True, False
-        self._began_s, self._heard_s = self._loop.time(), 0.0
-        # A cut link says nothing, not even on TCP: without this the call would wait for ever.
-        self._timer = self._loop.call_later(limit_s, self._check_progress)
+        self._loop = loop
+        self._owner = owner
+        self._connection: AgentConnection | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        self._progress_timer: asyncio.TimerHandle | None = None
+        self._call_started_at_s = 0.0  # by the event loop's clock, as the next one
+        self._last_received_at_s: float | None = None  # None: nothing of the response so far
+
+    def call(self, target: str, timeout_s: float) -> None:
+        """Make a call; the owner is told how it ends.
+
+        Args:
+            target: The request target, path and query.
+            timeout_s: If nothing of the response arrives within this time, the call is reported as overdue.
+        """
+        host, port = self.address
+        request = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
+        self.is_busy = True
+        self.is_overdue = False
+        self._call_started_at_s = self._loop.time()
+        self._last_received_at_s = None
+        # A broken link gives no sign, not even on TCP: without a timer the call would wait for ever.
+        self._check_progress_in(timeout_s)
         if self._connection is not None:
-            self._connection.ask(request)
+            self._connection.send(request)
         else:
-            self._dial = self._loop.create_task(self._connect(request))
+            self._connect_task = self._loop.create_task(self._connect_and_send(request))
+
+    def close(self) -> None:
+        """End the call in flight, without a report, and close the connection."""
+        self._end_call()
+        self._close_connection()
 
-    async def _connect(self, request: bytes) -> None:
-        task, connection = self._dial, _Connection(self)
+    async def _connect_and_send(self, request: bytes) -> None:
+        task = self._connect_task
+        connection = AgentConnection(self)
         try:
             async with asyncio.timeout(CONNECT_S):
                 await self._loop.create_connection(lambda: connection, *self.address)
-        except OSError as problem:  # the time-out is one too
-            if self._dial is task:
-                self._fail(f"can't connect: {problem or 'no answer'}")
+        except OSError as error:  # a timeout is one too
+            if self._connect_task is task:
+                self._fail(f"{CallFailure.CANNOT_CONNECT}: {error}")
             return
         finally:
-            # Called off, or late: what came up all the same belongs to nobody.
-            if self._dial is not task and connection.transport is not None:
-                connection.transport.abort()
-        if self._dial is task:
-            self._connection, self._dial = connection, None
-            connection.ask(request)
-
-    def progressed(self, connection: _Connection) -> None:
-        """More of an answer has come."""
+            # The call has ended meanwhile: nobody uses the connection, even if it has been opened.
+            if self._connect_task is not task:
+                connection.close()
+        if self._connect_task is task:
+            self._connection = connection
+            self._connect_task = None
+            connection.send(request)
+
+    # Reports of connections. One that is no longer in use may still report.
+
+    def response_progressed(self, connection: AgentConnection) -> None:
+        """More of a response has been received."""
         if not self.is_busy:
-            self.broken(connection, "an answer that nobody asked for")
+            self.connection_failed(connection, CallFailure.UNEXPECTED_RESPONSE)
         elif connection is self._connection:
-            self._heard_s = self._loop.time()
+            self._last_received_at_s = self._loop.time()
 
-    def _check_progress(self) -> None:
-        """Give the call up if its answer has stopped coming; say so if none has begun."""
-        now_s = self._loop.time()
-        if not self._heard_s:
-            self._timer = self._loop.call_later(SILENCE_S, self._check_progress)
-            if not self.is_overdue:
-                self.is_overdue = True
-                self._owner.call_overdue(self)
-            return
-        due_s = min(self._heard_s + SILENCE_S, self._began_s + LONGEST_ANSWER_S)
-        if now_s < due_s:
-            self._timer = self._loop.call_later(due_s - now_s, self._check_progress)
-        else:
-            self._fail("the answer stopped coming")
-
-    def complete(self, connection: _Connection, status: int, body: bytes) -> None:
-        """A whole answer has come."""
+    def response_completed(
+        self, connection: AgentConnection, response: ParsedResponse, *, can_keep_alive: bool
+    ) -> None:
+        """A complete response has been received."""
         if connection is not self._connection or not self.is_busy:
-            return self.broken(connection, "an answer that nobody asked for")
+            self.connection_failed(connection, CallFailure.UNEXPECTED_RESPONSE)
+            return
         self._end_call()
-        if not connection.keep_alive:
-            self._drop()
-        self._owner.response_received(self, status, body)
+        if not can_keep_alive:
+            self._close_connection()
+        self._owner.response_received(self, response.status, response.body)
 
-    def broken(self, connection: _Connection, why: str) -> None:
-        """A connection is of no further use; a failure if a call was out on it."""
+    def connection_failed(self, connection: AgentConnection, reason: CallFailure) -> None:
+        """A connection is of no further use; the call in flight on it fails."""
         if connection is not self._connection:
             return
         if self.is_busy:
-            self._fail(why)
+            self._fail(reason)
         else:
-            self._drop()
+            self._close_connection()
 
-    def _fail(self, why: str) -> None:
+    # The call in flight
+
+    def _check_progress_in(self, delay_s: float) -> None:
+        self._progress_timer = self._loop.call_later(delay_s, self._check_progress)
+
+    def _check_progress(self) -> None:
+        """Fail the call if its response has stalled; report it as overdue if none has begun."""
+        if self._last_received_at_s is None:
+            self._check_progress_in(STALL_TIMEOUT_S)
+            if not self.is_overdue:
+                self.is_overdue = True
+                self._owner.call_overdue(self)
+            return
+        now_s = self._loop.time()
+        stalled_at_s = self._last_received_at_s + STALL_TIMEOUT_S
+        deadline_at_s = min(stalled_at_s, self._call_started_at_s + MAX_CALL_S)
+        if now_s < deadline_at_s:
+            self._check_progress_in(deadline_at_s - now_s)
+        else:
+            self._fail(CallFailure.RESPONSE_STALLED)
+
+    def _fail(self, reason: str) -> None:
         self.close()
-        self._owner.call_failed(self, why)
+        self._owner.call_failed(self, reason)
 
     def _end_call(self) -> None:
         self.is_busy = False
-        dial, self._dial = self._dial, None
-        if dial is not None:
-            dial.cancel()
-        if self._timer is not None:
-            self._timer.cancel()
-
-    def _drop(self) -> None:
-        connection, self._connection = self._connection, None
-        if connection is not None and connection.transport is not None:
-            connection.transport.abort()
-
-    def close(self) -> None:
-        """End the call that is out, unheard, and its connection."""
-        self._end_call()
-        self._drop()
+        task = self._connect_task
+        self._connect_task = None
+        if task is not None:
+            task.cancel()
+        if self._progress_timer is not None:
+            self._progress_timer.cancel()
+
+    def _close_connection(self) -> None:
+        connection = self._connection
+        self._connection = None
+        if connection is not None:
+            connection.close()
