--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -92,7 +92,7 @@
                 self._client.response_progressed(self)
 
     def eof_received(self) -> None:
-        """Take the agent's orderly end, which completes a response with no length; a reset gets no call here."""
+        """Take the agent's orderly end, not a reset: it completes a response with no length."""
         if self._parser.feed_eof():
             self._report_response()
 
@@ -114,8 +114,8 @@
         is_overdue: Whether the time of the last call has passed with nothing of its response received.
         last_index: The version of the endpoint list that this agent sent last.
         needs_complete_list: Whether the next call has to get the complete list. The first one does: versions
-            need not be those that another agent sent or an earlier process received, and unlike a watch such a
-            call is answered at once where nothing has changed.
+            need not be those that another agent sent or an earlier process received. Such a call is also
+            answered at once where nothing has changed, unlike a watch.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, owner: AgentClientOwner) -> None:
