--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -1,4 +1,4 @@
-"""Connections that come up late: what was decided before the dial may hold no more when it ends."""
+"""Connections that open late: what was decided before may no longer hold when they are open."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 from tests.peers import LIMIT_S, Server, World, answer, read_message, request, run, until, world
 
-DIAL_S = 1.0  # until the kernel tries a handshake again that a full backlog has dropped
-
 
 class SlowListener:
-    """A server whose first connection comes up after a second: its backlog is full till then."""
+    """A server whose first connection opens after a second: its backlog is full until then.
+
+    The kernel drops the first handshake, and tries again after that time.
+    """
 
     def __init__(self) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -27,7 +28,7 @@
         self.address = f"{host}:{port}"
 
     async def accept(self) -> socket.socket:
-        """The connection that was dialled, once it is up."""
+        """The connection that the node opens, once it is open."""
         loop = asyncio.get_running_loop()
         (await loop.sock_accept(self._socket))[0].close()
         connection, _ = await asyncio.wait_for(loop.sock_accept(self._socket), LIMIT_S)
@@ -45,10 +46,15 @@
     listener.close()
 
 
-async def dialling(scene: World) -> None:
+async def connecting(scene: World) -> None:
+    """Wait until the node opens a connection to a server."""
     assert scene.node is not None
-    upstream = scene.node._upstream
-    await until(lambda: len(upstream._connecting) == 1)
+    pool = scene.node._upstream
+    await until(lambda: len(pool._connecting) == 1)
+
+
+def block_the_loop(duration_s: float) -> None:
+    time.sleep(duration_s)
 
 
 async def sent_on(connection: socket.socket) -> str | None:
@@ -67,7 +73,7 @@
 def test_a_server_that_moves_while_its_connection_comes_up_gets_nothing_at_its_old_address(
     slow: SlowListener, tmp_path: Path
 ) -> None:
-    """Its name was still in service, so that the old process was sent the request."""
+    """Its name was still in service, so the old process was sent the request."""
 
     async def test() -> None:
         server = Server(name="moves")
@@ -76,7 +82,7 @@
             await until(lambda: scene.node is not None and bool(scene.node._in_service))
             caller = await scene.caller()
             caller.write(request("a", "pay"))
-            await dialling(scene)
+            await connecting(scene)
             watches = scene.registry.watches()
             scene.registry.tell(server.entry())
             await until(lambda: scene.registry.watches() > watches)
@@ -90,7 +96,7 @@
 def test_a_keyed_request_is_not_written_again_once_its_window_is_over(
     slow: SlowListener, tmp_path: Path
 ) -> None:
-    """The window was looked at before the dial, and the repeat ran a second time."""
+    """The window was checked before connecting only, and the retry ran the request a second time."""
     window_s = 0.6
 
     async def test() -> None:
@@ -101,7 +107,7 @@
             scene.registry.whole = [first.entry()]
             await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
             caller = await scene.caller()
-            began_s = time.monotonic()
+            started_at_s = time.monotonic()
             first.gate.clear()
             caller.write(request("a", "save"))
             await until(lambda: len(first.seen) == 1)
@@ -110,10 +116,10 @@
             scene.registry.tell(other)
             await until(lambda: scene.registry.watches() > watches)
             first.gate.set()
-            await dialling(scene)
-            assert time.monotonic() - began_s < window_s
+            await connecting(scene)
+            assert time.monotonic() - started_at_s < window_s
             assert await sent_on(await slow.accept()) is None
-            assert time.monotonic() - began_s > window_s
+            assert time.monotonic() - started_at_s > window_s
             assert (await caller.read()).status in (502, 503, 504)
             assert len(first.seen) == 1
 
@@ -121,7 +127,7 @@
 
 
 def test_nothing_is_written_with_no_time_left(slow: SlowListener, tmp_path: Path) -> None:
-    """(Passed when it was written: the attempt's own time-out comes first.)"""
+    """The timeout of the attempt itself comes first."""
 
     async def test() -> None:
         async with world(tmp_path, known=False) as scene:
@@ -130,11 +136,9 @@
             assert scene.node is not None
             caller = await scene.caller()
             caller.write(request("a", budget="1.1"))
-            await dialling(scene)
-            held = asyncio.get_running_loop()
-            (await held.sock_accept(slow._socket))[0].close()
-            connection, _ = await asyncio.wait_for(held.sock_accept(slow._socket), LIMIT_S)
-            time.sleep(0.12)  # the node, in this loop, is held up past the end of the request's time
+            await connecting(scene)
+            connection = await slow.accept()
+            block_the_loop(0.12)  # past the end of the request's time: the node runs in this loop
             reader, writer = await asyncio.open_connection(sock=connection)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.5):
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import pytest
+
 from workspond.policy.actions import SendAttempt
 from workspond.policy.balancer import Balancer
 from workspond.policy.endpoint import Endpoint
@@ -11,23 +13,28 @@
 
 
 def test_huge_figures_in_a_report_are_cut() -> None:
-    """A queue of 1e300, to the third power, stopped every pick."""
+    """A queue of 1e300, raised to the third power, once stopped every selection."""
     report = parse_load_report(b"queue=1e300")
     assert report == {"queue": 1e6}
     settings = Settings([RequestClass("read", 1000.0, 3000.0, idempotency=Idempotency.IDEMPOTENT)])
     balancer = Balancer(settings, 1)
     balancer.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(7)]), 0.0)
-    for id in "ab":
-        [send] = balancer.handle(RequestReceived(id, "read", 3000.0), 1.0)
+    for request_id in "ab":
+        [send] = balancer.handle(RequestReceived(request_id, "read", 3000.0), 1.0)
         assert isinstance(send, SendAttempt)
-        balancer.handle(AttemptEnded(id, 0, 7, Outcome.SUCCESS, 5.0, True, report), 6.0)
+        balancer.handle(AttemptEnded(request_id, 0, 7, Outcome.SUCCESS, 5.0, True, report), 6.0)
 
 
-def test_a_report_that_cannot_be_read_counts_as_none() -> None:
+def test_a_report_is_read_and_negative_figures_count_as_0() -> None:
     assert parse_load_report(b"inflight=7,queue=-2, util=0.61") == {
         "inflight": 7.0,
         "queue": 0.0,
         "util": 0.61,
     }
-    for text in (b"", b"queue", b"queue=1=2", b"queue=x", b"queue=nan", b"queue=inf", b"\xff=1"):
-        assert parse_load_report(text) is None
+
+
+@pytest.mark.parametrize(
+    "text", [b"", b"queue", b"queue=1=2", b"queue=x", b"queue=nan", b"queue=inf", b"\xff=1"]
+)
+def test_a_report_that_cannot_be_read_counts_as_none(text: bytes) -> None:
+    assert parse_load_report(text) is None
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -8,7 +8,7 @@
 
 from tests.peers import CLOSE, HANG, RESET, Server, answer, run, until, world
 
-NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
+NOT_HTTP = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
     "500": answer(500),
     "404": answer(404),
@@ -17,7 +17,7 @@
     "500 with the mark": answer(500, headers="X-Rejected: 1\r\n"),
     "reset": RESET,
     "end": CLOSE,
-    "noise": NOISE,
+    "noise": NOT_HTTP,
     "half a head": b"HTTP/1.1 200 OK\r\nContent-Le" + CLOSE,
     "half a body": b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive!" + CLOSE,
     "no length, reset": b"HTTP/1.1 200 OK\r\n\r\nuntil the end" + RESET,
@@ -48,12 +48,12 @@
 }
 
 
-@pytest.mark.parametrize("spoilt", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN.keys())
+@pytest.mark.parametrize("response", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN.keys())
 def test_an_unsafe_request_that_may_have_run_fails_and_is_never_sent_again(
-    spoilt: bytes, tmp_path: Path
+    response: bytes, tmp_path: Path
 ) -> None:
     async def test() -> None:
-        server = Server(spoilt)
+        server = Server(response)
         async with world(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay")).status == 502
             assert (await scene.ask("b", "pay")).body == b"done"  # and nothing of it reaches the next
@@ -62,10 +62,10 @@
     run(test())
 
 
-@pytest.mark.parametrize("turned_away", NEVER_RAN.values(), ids=NEVER_RAN.keys())
-def test_an_unsafe_request_that_was_turned_away_is_sent_again(turned_away: bytes, tmp_path: Path) -> None:
+@pytest.mark.parametrize("rejection", NEVER_RAN.values(), ids=NEVER_RAN.keys())
+def test_an_unsafe_request_that_was_turned_away_is_sent_again(rejection: bytes, tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(turned_away)
+        server = Server(rejection)
         async with world(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay")).body == b"done"
             assert [seen.id for seen in server.seen] == ["a", "a"]
@@ -78,7 +78,7 @@
         down, up = Server(name="down"), Server(name="up")
         async with world(tmp_path, down, up) as scene:
             await down.stop()
-            for n in range(6):  # the rotation comes by the one that is down
+            for n in range(6):  # the round robin selects the one that is down, too
                 assert (await scene.ask(f"{n}", "pay")).body == b"done"
             assert sorted(seen.id for seen in up.seen) == [f"{n}" for n in range(6)]
 
@@ -98,9 +98,9 @@
 
 def test_good_answers_that_bring_more_are_served_and_their_connection_dropped(tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(answer(200, b"one") + answer(200, b"two"), answer(200, b"three") + NOISE)
+        server = Server(answer(200, b"one") + answer(200, b"two"), answer(200, b"three") + NOT_HTTP)
         async with world(tmp_path, server) as scene:
-            assert [(await scene.ask(id)).body for id in "abc"] == [b"one", b"three", b"done"]
+            assert [(await scene.ask(request_id)).body for request_id in "abc"] == [b"one", b"three", b"done"]
             assert [seen.connection for seen in server.seen] == [1, 2, 3]
 
     run(test())
@@ -134,13 +134,19 @@
 
 
 def test_what_must_not_run_twice_goes_on_a_fresh_connection_and_these_do_not_add_up(tmp_path: Path) -> None:
-    """A kept connection may be dead with no sign of it: what is lost on it may have run, and is lost."""
+    """An idle connection may be dead with no sign of it: a request lost on it may have run, and fails."""
 
     async def test() -> None:
         server = Server()
         async with world(tmp_path, server) as scene:
-            for id, cls in (("a", "read"), ("b", "pay"), ("c", "pay"), ("d", "read"), ("e", "save")):
-                assert (await scene.ask(id, cls)).status == 200
+            for request_id, class_name in (
+                ("a", "read"),
+                ("b", "pay"),
+                ("c", "pay"),
+                ("d", "read"),
+                ("e", "save"),
+            ):
+                assert (await scene.ask(request_id, class_name)).status == 200
             assert [seen.connection for seen in server.seen] == [1, 2, 3, 3, 3]
             assert scene.node is not None and scene.node._upstream.connection_count() == 1
             await until(lambda: server.lost == 2)
