--- a/tests/test_close_framed.py
+++ b/tests/test_close_framed.py
@@ -1,4 +1,4 @@
-"""Answers with no length: an orderly end of the connection ends them, and a reset does not."""
+"""Responses with no length: an orderly end of the connection completes them, a reset does not."""
 
 from __future__ import annotations
 
@@ -15,15 +15,14 @@
 
 
 def test_an_answer_with_no_length_ends_with_its_connection(tmp_path: Path) -> None:
-    """None was forwarded: each counted as spoilt."""
+    """Such responses once counted as malformed, and none was forwarded."""
 
     async def test() -> None:
         server = Server(HEAD + b"until the end" + CLOSE, HEAD + CLOSE)
         async with world(tmp_path, server) as scene:
-            reply = await scene.ask("a", "pay")
-            assert (reply.status, reply.body) == (200, b"until the end")
-            reply = await scene.ask("b", "pay")
-            assert (reply.status, reply.body) == (200, b"")
+            for request_id, body in (("a", b"until the end"), ("b", b"")):
+                response = await scene.ask(request_id, "pay")
+                assert (response.status, response.body) == (200, body)
 
     run(test())
 
@@ -49,9 +48,9 @@
     run(test())
 
 
-@pytest.mark.parametrize("behind", ["at once", "later"])
-def test_a_reset_right_after_the_last_byte_is_no_end(behind: str, tmp_path: Path) -> None:
-    """Read in one turn of the loop with the body, or in a later one."""
+@pytest.mark.parametrize("reset_comes", ["at once", "later"])
+def test_a_reset_right_after_the_last_byte_is_no_end(reset_comes: str, tmp_path: Path) -> None:
+    """The reset is read in the same turn of the loop as the body, or in a later one."""
 
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -64,8 +63,8 @@
                 caller.write(request("a", "pay"))
                 connection, _ = await asyncio.to_thread(listener.accept)
                 await asyncio.to_thread(connection.recv, 65536)
-                connection.sendall(HEAD + b"whole, as it looks")
-                if behind == "later":
+                connection.sendall(HEAD + b"complete, as it looks")
+                if reset_comes == "later":
                     await asyncio.sleep(0.1)
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 connection.close()
--- a/tests/test_response_parser.py
+++ b/tests/test_response_parser.py
@@ -53,8 +53,18 @@
         (b"HTTP/1.1 204 None\r\n\r\n", 204, b""),
         (INTERIM + sized(b"abcde"), 200, b"abcde"),
         (INTERIM + INTERIM + CHUNKED, 200, b"abcde"),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKED, 200, b"abcde"),
+    ],
+    ids=[
+        "length",
+        "empty",
+        "an error",
+        "chunks",
+        "no body",
+        "after one interim",
+        "after two interim",
+        "after continue",
     ],
-    ids=["length", "empty", "an error", "chunks", "no body", "after one interim", "after two interim"],
 )
 def test_a_response_is_read_at_once_and_byte_by_byte(
     rules: ResponseRules, data: bytes, status: int, body: bytes
@@ -97,6 +107,15 @@
         assert not parser.feed_eof()  # it was complete already
 
 
+@BOTH
+def test_a_length_of_an_interim_response_is_not_that_of_the_final_one(rules: ResponseRules) -> None:
+    interim = INTERIM.replace(b"X-Mark: early", b"Content-Length: 0")
+    parser, state = fed(rules, interim + HEAD + b"\r\nabcde")
+    assert state is ParseState.INCOMPLETE
+    assert parser.feed_eof()
+    assert parser.response().body == b"abcde"
+
+
 @BOTH
 @pytest.mark.parametrize(
     "data",
@@ -185,8 +204,22 @@
     assert fed(LENIENT, data)[1] is ParseState.COMPLETE
 
 
+def test_the_size_of_an_earlier_response_does_not_count() -> None:
+    parser = ResponseParser(LENIENT)
+    for _ in range(3):
+        parser.start()
+        assert parser.feed(sized(b"x" * 400)[:200]) is ParseState.INCOMPLETE
+
+
+def test_a_length_that_cannot_be_converted_is_malformed_where_bodies_are_limited() -> None:
+    """Python converts no number of so many digits; where no limit asks for it, the parser reads it."""
+    data = sized(b"abcde").replace(b"Length: 5", b"Length: " + b"0" * 5000 + b"5")
+    assert fed(replace(STRICT, max_head_bytes=math.inf), data)[1] is ParseState.MALFORMED
+    assert fed(replace(LENIENT, max_message_bytes=math.inf), data)[1] is ParseState.COMPLETE
+
+
 @pytest.mark.parametrize(
-    "surplus", [sized(b"two"), b"\x00 noise\r\n", HEAD], ids=["response", "noise", "head"]
+    "surplus", [sized(b"two", status=500), b"\x00 noise\r\n", HEAD], ids=["response", "noise", "head"]
 )
 def test_surplus_that_is_ignored_leaves_the_response_and_ends_the_connections_use(surplus: bytes) -> None:
     parser, state = fed(STRICT, sized(b"one") + surplus)
--- a/workspond/upstream/__init__.py
+++ b/workspond/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The servers' side: attempts, the connections that carry them, and the pool of these."""
+"""The side of the servers: attempts, the connections that carry them, and the pool of connections."""
