--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -163,7 +163,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It used up the whole of a watch's 21.5 s."""
-    monkeypatch.setattr(agent_link, "CONNECT_S", 0.1)
+    monkeypatch.setattr(agent_link, "CONNECT_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         server = Server()
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -39,7 +39,7 @@
     assert discovery.FAILURES_BORNE >= 3
     for pause_ms in (pushed_ms, asked_ms):
         assert discovery.longest_news_ms(pause_ms) < TOLD_MS - 200.0
-        after_reload_ms = 2 * (discovery.CALL_MS + pause_ms) + agent_link.CONNECT_S * 1000.0
+        after_reload_ms = 2 * (discovery.CALL_MS + pause_ms) + agent_link.CONNECT_TIMEOUT_S * 1000.0
         assert after_reload_ms < TOLD_RELOAD_MS - 200.0
 
 
@@ -151,7 +151,7 @@
     (Passed before the sum was cut.) The waits are cut so that the test is short; it counts calls, not time.
     """
     monkeypatch.setattr(discovery, "WATCH_MS", 300)
-    monkeypatch.setattr(agent_link, "CONNECT_S", 0.4)
+    monkeypatch.setattr(agent_link, "CONNECT_TIMEOUT_S", 0.4)
 
     async def test() -> None:
         new = Server(name="new")
--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -9,7 +9,7 @@
 from workspond.address import Address
 from workspond.http.response_parser import ParsedResponse, ParseState, ResponseParser, ResponseRules
 
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 """How long a connection may take to open. A broken link would otherwise use up the whole time of a call."""
 
 STALL_TIMEOUT_S = 1.0
@@ -161,7 +161,7 @@
         task = self._connect_task
         connection = AgentConnection(self)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.create_connection(lambda: connection, *self.address)
         except OSError as error:  # a timeout is one too
             if self._connect_task is task:
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -14,7 +14,7 @@
 
 from workspond.address import Address
 from workspond.clock import now_ms
-from workspond.discovery.agent_client import CONNECT_S, AgentClient
+from workspond.discovery.agent_client import CONNECT_TIMEOUT_S, AgentClient
 from workspond.discovery.endpoint_list import EndpointList
 from workspond.discovery.endpoint_list_reader import EndpointListReader
 from workspond.json_fields import MalformedInputError
@@ -42,7 +42,7 @@
     has not begun, counted from when there was something to tell.
     """
     call_ms = max(WATCH_MS + GRACE_MS, CALL_MS)
-    return FAILURES_BORNE * (call_ms + pause_ms) + CONNECT_S * 1000.0
+    return FAILURES_BORNE * (call_ms + pause_ms) + CONNECT_TIMEOUT_S * 1000.0
 
 
 class EndpointListener(Protocol):
