--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -2,33 +2,13 @@
 
 from __future__ import annotations
 
-import asyncio
-import errno
-import logging
-import socket
-import struct
-import threading
-import time
-from collections.abc import Callable
-from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, cast
 
 import pytest
 
-from tests.peers import CLOSE, HANG, LIMIT_S, RESET, Peer, Seen, Server, answer, request, run, until, world
-from workspond.address import Address
-from workspond.policy.actions import SendAttempt
-from workspond.policy.balancer import Balancer
-from workspond.policy.endpoint import Endpoint
-from workspond.policy.events import AttemptEnded, EndpointUpdate, Outcome, RequestReceived, UpdateKind
-from workspond.policy.settings import Idempotency, RequestClass, Settings
-from workspond.upstream import connection_pool as upstream
-from workspond.upstream.attempt import ServerResponse
-from workspond.upstream.connection_pool import Connection, ConnectionPool
-from workspond.upstream.load_report import read_report
+from tests.peers import CLOSE, HANG, RESET, Server, answer, run, until, world
 
-NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
+NOT_HTTP = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
     "500": answer(500),
     "404": answer(404),
@@ -37,7 +17,7 @@
     "500 with the mark": answer(500, headers="X-Rejected: 1\r\n"),
     "reset": RESET,
     "end": CLOSE,
-    "noise": NOISE,
+    "noise": NOT_HTTP,
     "half a head": b"HTTP/1.1 200 OK\r\nContent-Le" + CLOSE,
     "half a body": b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive!" + CLOSE,
     "no length, reset": b"HTTP/1.1 200 OK\r\n\r\nuntil the end" + RESET,
@@ -68,12 +48,12 @@
 }
 
 
-@pytest.mark.parametrize("spoilt", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN.keys())
+@pytest.mark.parametrize("response", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN.keys())
 def test_an_unsafe_request_that_may_have_run_fails_and_is_never_sent_again(
-    spoilt: bytes, tmp_path: Path
+    response: bytes, tmp_path: Path
 ) -> None:
     async def test() -> None:
-        server = Server(spoilt)
+        server = Server(response)
         async with world(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay")).status == 502
             assert (await scene.ask("b", "pay")).body == b"done"  # and nothing of it reaches the next
@@ -82,10 +62,10 @@
     run(test())
 
 
-@pytest.mark.parametrize("turned_away", NEVER_RAN.values(), ids=NEVER_RAN.keys())
-def test_an_unsafe_request_that_was_turned_away_is_sent_again(turned_away: bytes, tmp_path: Path) -> None:
+@pytest.mark.parametrize("rejection", NEVER_RAN.values(), ids=NEVER_RAN.keys())
+def test_an_unsafe_request_that_was_turned_away_is_sent_again(rejection: bytes, tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(turned_away)
+        server = Server(rejection)
         async with world(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay")).body == b"done"
             assert [seen.id for seen in server.seen] == ["a", "a"]
@@ -98,7 +78,7 @@
         down, up = Server(name="down"), Server(name="up")
         async with world(tmp_path, down, up) as scene:
             await down.stop()
-            for n in range(6):  # the rotation comes by the one that is down
+            for n in range(6):  # the round robin selects the one that is down, too
                 assert (await scene.ask(f"{n}", "pay")).body == b"done"
             assert sorted(seen.id for seen in up.seen) == [f"{n}" for n in range(6)]
 
@@ -118,9 +98,9 @@
 
 def test_good_answers_that_bring_more_are_served_and_their_connection_dropped(tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(answer(200, b"one") + answer(200, b"two"), answer(200, b"three") + NOISE)
+        server = Server(answer(200, b"one") + answer(200, b"two"), answer(200, b"three") + NOT_HTTP)
         async with world(tmp_path, server) as scene:
-            assert [(await scene.ask(id)).body for id in "abc"] == [b"one", b"three", b"done"]
+            assert [(await scene.ask(request_id)).body for request_id in "abc"] == [b"one", b"three", b"done"]
             assert [seen.connection for seen in server.seen] == [1, 2, 3]
 
     run(test())
@@ -153,336 +133,20 @@
     run(test())
 
 
-@dataclass
-class PlainAttempt:
-    """An attempt with a given request; `on_end` hears of its outcome."""
-
-    data: bytes
-    on_end: Callable[[Outcome, ServerResponse | None], object]
-    permitted: Callable[[], bool] = lambda: True
-
-    def may_send(self) -> bool:
-        return self.permitted()
-
-    def render_request(self) -> bytes:
-        return self.data
-
-    def attempt_ended(self, outcome: Outcome, response: ServerResponse | None) -> None:
-        self.on_end(outcome, response)
-
-
-class Attempts:
-    """Attempts on connections of their own, without a node."""
-
-    def __init__(self, address: str, **changes: float) -> None:
-        figures = {"connect_timeout_ms": 5000.0, "keepalive_ms": 60_000.0} | changes
-        loop = asyncio.get_running_loop()
-        self.upstream = ConnectionPool(
-            loop, figures["connect_timeout_ms"], figures["keepalive_ms"], lambda: 100
-        )
-        host, port = address.split(":")
-        self.address: Address = (host, int(port))
-        self.results: list[Outcome] = []
-        self.answers: list[ServerResponse | None] = []
-
-    def send(self, id: str, alive: list[bool] | None = None) -> None:
-        def ended(result: Outcome, answer: ServerResponse | None) -> None:
-            self.results.append(result)
-            self.answers.append(answer)
-
-        attempt = PlainAttempt(request(id), ended, lambda: alive is None or alive[0])
-        self.upstream.send(1, self.address, attempt, 20_000.0)
-
-    async def result(self, count: int) -> Outcome:
-        await until(lambda: len(self.results) == count)
-        return self.results[-1]
-
-
-class Blocking:
-    """A server in a thread of its own: it can act while the event loop is kept from seeing it."""
-
-    def __init__(self, *, reset: bool) -> None:
-        self._socket = socket.create_server(("127.0.0.1", 0))
-        self._socket.settimeout(LIMIT_S)
-        self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
-        self.got: list[bytes] = []
-        self._reset, self._end = reset, threading.Event()
-        self._thread = threading.Thread(target=self._serve, daemon=True)  # no hang when a test fails
-        self._thread.start()
-
-    def _serve(self) -> None:
-        connection, _ = self._socket.accept()
-        self.got.append(connection.recv(65536))
-        connection.sendall(answer())
-        self._end.wait(LIMIT_S)
-        if self._reset:
-            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        connection.close()
-        connection, _ = self._socket.accept()
-        self.got.append(connection.recv(65536))
-        connection.sendall(answer())
-        connection.close()
-        self._socket.close()
-
-    def end_connection(self) -> None:
-        """End it, and hold up whoever calls until that is done."""
-        self._end.set()
-        time.sleep(0.05)
-
-
-@pytest.mark.parametrize("reset", [True, False], ids=["reset", "end"])
-def test_a_connection_whose_end_the_loop_has_not_seen_is_not_used_again(reset: bool) -> None:
-    """What is written to it would come back as a reset that may have run: an unsafe request is lost."""
-
-    async def test() -> None:
-        server = Blocking(reset=reset)
-        attempts = Attempts(server.address)
-        attempts.send("a")
-        assert await attempts.result(1) is Outcome.SUCCESS
-        server.end_connection()
-        attempts.send("b")
-        assert await attempts.result(2) is Outcome.SUCCESS
-        assert [b"X-Call-Id: b" in got for got in server.got] == [False, True]
-
-    run(test())
-
-
-def test_an_answer_that_came_in_time_counts_though_the_loop_reads_it_late() -> None:
-    """One turn of the loop outlasts the time-out; the timer runs before the answer is read."""
-    timeout_s = 1.5
-
-    async def test() -> None:
-        loop = asyncio.get_running_loop()
-        with socket.create_server(("127.0.0.1", 0)) as listener:
-            listener.settimeout(LIMIT_S)
-            attempts = Attempts(f"127.0.0.1:{listener.getsockname()[1]}")
-            ended = loop.create_future()
-            sent_s = time.monotonic()
-            attempts.upstream.send(
-                1,
-                attempts.address,
-                PlainAttempt(request("a"), lambda result, _: ended.set_result(result)),
-                timeout_s * 1000.0,
-            )
-            connection, _ = await asyncio.to_thread(listener.accept)
-            connection.settimeout(LIMIT_S)
-            assert await asyncio.to_thread(connection.recv, 65536)
-            inner, outer = socket.socketpair()
-
-            def busy() -> None:
-                loop.remove_reader(inner)
-                connection.sendall(answer())
-                time.sleep(max(0.0, sent_s + timeout_s + 0.2 - time.monotonic()))
-
-            loop.add_reader(inner, busy)
-            outer.send(b"x")
-            assert await asyncio.wait_for(ended, LIMIT_S) is Outcome.SUCCESS
-            for peer in (connection, inner, outer):
-                peer.close()
-
-    run(test())
-
-
-def test_a_write_that_fails_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The last byte did not go out, so the attempt may be made again, of whatever class."""
-    monkeypatch.setattr(Connection, "usable", lambda self: not self._lost)
-
-    async def test() -> None:
-        server = Blocking(reset=True)
-        attempts = Attempts(server.address)
-        attempts.send("a")
-        assert await attempts.result(1) is Outcome.SUCCESS
-        server.end_connection()
-        attempts.send("b")
-        assert await attempts.result(2) is Outcome.CONNECT_FAILED
-        attempts.send("c")
-        assert await attempts.result(3) is Outcome.SUCCESS
-
-    run(test())
-
-
-def test_a_request_that_ended_while_its_connection_came_up_is_not_sent() -> None:
-    """A drain or an end between the pick and the connection: nothing may be written any more."""
-
-    async def test() -> None:
-        server = Server()
-        await server.start()
-        attempts, alive = Attempts(server.address), [True]
-        attempts.send("a", alive)
-        alive[0] = False
-        assert await attempts.result(1) is Outcome.NOT_SENT
-        attempts.send("b")  # the connection itself is good, and used
-        assert await attempts.result(2) is Outcome.SUCCESS
-        assert [seen.id for seen in server.seen] == ["b"]
-        assert server.connections == 1
-        await server.stop()
-
-    run(test())
-
-
-def test_connections_are_dropped_well_before_the_servers_idle_limit() -> None:
-    async def test() -> None:
-        server = Server()
-        await server.start()
-        attempts = Attempts(server.address, keepalive_ms=400.0)
-        attempts.send("a")
-        assert await attempts.result(1) is Outcome.SUCCESS
-        await until(lambda: server.lost == 1)
-        assert attempts.upstream.connection_count() == 0
-        await server.stop()
-
-    run(test())
-
-
-def test_the_most_recently_used_connection_comes_first_and_idle_ones_can_be_closed() -> None:
-    async def test() -> None:
-        server = Server()
-        server.gate.clear()
-        await server.start()
-        attempts = Attempts(server.address)
-        attempts.send("a")
-        attempts.send("b")
-        await until(lambda: len(server.seen) == 2)
-        server.gate.set()
-        await attempts.result(2)
-        for n in range(3, 6):
-            attempts.send(f"{n}")
-            await attempts.result(n)
-        assert len({seen.connection for seen in server.seen[2:]}) == 1
-        attempts.upstream.close_idle(1)
-        await until(lambda: server.lost == 2)
-        await server.stop()
-
-    run(test())
-
-
-class Twice(Peer):
-    """Answers the first request a second time, as soon as the next one has come."""
-
-    async def script(self, message: Seen) -> bytes:
-        if message.id == "a":
-            [self.first] = self._writers
-        else:
-            self.first.write(answer(200, b"for a"))
-        return answer(200, b"for " + message.id.encode())
-
-
-def test_a_second_answer_that_comes_late_is_not_taken_for_that_to_the_next_request(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """Nothing in an answer tells which request it is for, so a connection rests before the next goes out."""
-    monkeypatch.setattr(upstream, "REUSE_DELAY_MS", 60_000.0)  # the next comes within it on any machine
-
-    async def test() -> None:
-        server = Twice()
-        await server.start()
-        attempts = Attempts(server.address)
-        attempts.send("a")
-        assert await attempts.result(1) is Outcome.SUCCESS
-        attempts.send("b")
-        assert await attempts.result(2) is Outcome.SUCCESS
-        assert [taken.body for taken in attempts.answers if taken is not None] == [b"for a", b"for b"]
-        await until(
-            lambda: attempts.upstream.connection_count() == 1
-        )  # the first goes with what nobody asked for
-        await server.stop()
-
-    run(test())
-
-
-class ShortLoop:
-    """The event loop, but for connecting, which fails in a given way."""
-
-    def __init__(self, problem: Exception) -> None:
-        self._problem, self._loop = problem, asyncio.get_running_loop()
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self._loop, name)
-
-    async def create_connection(self, *args: Any) -> None:
-        raise self._problem
-
-
-@pytest.mark.parametrize(
-    ("problem", "result"),
-    [
-        (OSError(errno.EMFILE, "too many open files"), Outcome.NOT_SENT),
-        (OSError(errno.ECONNREFUSED, "refused"), Outcome.CONNECT_FAILED),
-        (RuntimeError("a fault"), Outcome.CONNECT_FAILED),
-    ],
-)
-def test_a_dial_that_fails_ends_its_attempt_and_our_own_shortage_is_not_the_servers(
-    problem: Exception, result: Outcome, caplog: pytest.LogCaptureFixture
-) -> None:
-    async def test() -> None:
-        attempts = Attempts("127.0.0.1:1")
-        attempts.upstream._loop = cast(asyncio.AbstractEventLoop, ShortLoop(problem))
-        with caplog.at_level(logging.CRITICAL):
-            attempts.send("a")
-            assert await attempts.result(1) is result
-        await until(lambda: attempts.upstream.connection_count() == 0)
-
-    run(test())
-
-
-def test_an_attempt_without_room_for_its_socket_never_ran_and_is_not_the_servers_failure() -> None:
-    async def test() -> None:
-        server = Server()
-        await server.start()
-        attempts = Attempts(server.address)
-        attempts.upstream._available_descriptors = lambda: 0
-        attempts.send("a")
-        assert await attempts.result(1) is Outcome.NOT_SENT and not server.connections
-        await server.stop()
-
-    run(test())
-
-
-def test_a_dial_that_is_called_off_leaves_no_connection() -> None:
-    async def test() -> None:
-        server = Server()
-        await server.start()
-        attempts = Attempts(server.address)
-        for n in range(20):
-            plain = PlainAttempt(request("a"), lambda result, _: attempts.results.append(result))
-            attempt = attempts.upstream.send(1, attempts.address, plain, 20_000.0)
-            for _ in range(n % 4):  # at each step of it
-                await asyncio.sleep(0)
-            attempt.abort(Outcome.CANCELLED)
-        assert attempts.results == [Outcome.CANCELLED] * 20
-        await until(lambda: attempts.upstream.connection_count() == 0 and server.lost == server.connections)
-        await server.stop()
-
-    run(test())
-
-
-def test_huge_figures_in_a_report_are_cut() -> None:
-    """A queue of 1e300, to the third power, stopped every pick."""
-    report = read_report(b"queue=1e300")
-    assert report == {"queue": 1e6}
-    settings = Settings([RequestClass("read", 1000.0, 3000.0, idempotency=Idempotency.IDEMPOTENT)])
-    balancer = Balancer(settings, 1)
-    balancer.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(7)]), 0.0)
-    for id in "ab":
-        [send] = balancer.handle(RequestReceived(id, "read", 3000.0), 1.0)
-        assert isinstance(send, SendAttempt)
-        balancer.handle(AttemptEnded(id, 0, 7, Outcome.SUCCESS, 5.0, True, report), 6.0)
-
-
-def test_a_report_that_cannot_be_read_counts_as_none() -> None:
-    assert read_report(b"inflight=7,queue=-2, util=0.61") == {"inflight": 7.0, "queue": 0.0, "util": 0.61}
-    for text in (b"", b"queue", b"queue=1=2", b"queue=x", b"queue=nan", b"queue=inf", b"\xff=1"):
-        assert read_report(text) is None
-
-
 def test_what_must_not_run_twice_goes_on_a_fresh_connection_and_these_do_not_add_up(tmp_path: Path) -> None:
-    """A kept connection may be dead with no sign of it: what is lost on it may have run, and is lost."""
+    """An idle connection may be dead with no sign of it: a request lost on it may have run, and fails."""
 
     async def test() -> None:
         server = Server()
         async with world(tmp_path, server) as scene:
-            for id, cls in (("a", "read"), ("b", "pay"), ("c", "pay"), ("d", "read"), ("e", "save")):
-                assert (await scene.ask(id, cls)).status == 200
+            for request_id, class_name in (
+                ("a", "read"),
+                ("b", "pay"),
+                ("c", "pay"),
+                ("d", "read"),
+                ("e", "save"),
+            ):
+                assert (await scene.ask(request_id, class_name)).status == 200
             assert [seen.connection for seen in server.seen] == [1, 2, 3, 3, 3]
             assert scene.node is not None and scene.node._upstream.connection_count() == 1
             await until(lambda: server.lost == 2)
--- a/tests/test_update_latency.py
+++ b/tests/test_update_latency.py
@@ -43,7 +43,7 @@
     assert discovery.MAX_CONSECUTIVE_FAILURES >= 3
     for pause_ms in (pushed_ms, asked_ms):
         assert discovery.max_update_latency_ms(pause_ms) < MAX_LATENCY_MS - MARGIN_MS
-        after_reload_ms = 2 * (discovery.POLL_TIMEOUT_MS + pause_ms) + agent_link.CONNECT_S * 1000.0
+        after_reload_ms = 2 * (discovery.POLL_TIMEOUT_MS + pause_ms) + agent_link.CONNECT_TIMEOUT_S * 1000.0
         assert after_reload_ms < MAX_RELOAD_LATENCY_MS - MARGIN_MS
 
 
@@ -180,7 +180,7 @@
     (Passed before the sum was cut.) The waits are cut so that the test is short; it counts calls, not time.
     """
     monkeypatch.setattr(discovery, "WATCH_MS", 300)
-    monkeypatch.setattr(agent_link, "CONNECT_S", 0.4)
+    monkeypatch.setattr(agent_link, "CONNECT_TIMEOUT_S", 0.4)
 
     async def test() -> None:
         new = Server(name="new")
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -20,7 +20,7 @@
 
 from workspond.address import Address
 from workspond.clock import now_ms
-from workspond.discovery.agent_client import CONNECT_S, AgentClient
+from workspond.discovery.agent_client import CONNECT_TIMEOUT_S, AgentClient
 from workspond.discovery.endpoint_list import EndpointList
 from workspond.discovery.endpoint_list_reader import EndpointListReader, InvalidEndpointListError
 from workspond.discovery.superseded_calls import SupersededCalls
@@ -52,7 +52,7 @@
         retry_wait_ms: The longest wait between a failed call and the next one, in ms.
     """
     call_ms = max(WATCH_MS + WATCH_GRACE_MS, POLL_TIMEOUT_MS)
-    return MAX_CONSECUTIVE_FAILURES * (call_ms + retry_wait_ms) + CONNECT_S * 1000.0
+    return MAX_CONSECUTIVE_FAILURES * (call_ms + retry_wait_ms) + CONNECT_TIMEOUT_S * 1000.0
 
 
 class UnusableResponseError(Exception):
