--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.peers import LIMIT_S, Server, read_message, request, run, until, world
-from tests.test_accept import FailingSocket
+from tests.test_listener import FailingSocket
 from workspond.downstream.listener import RETRY_S
 
 SLACK_S = 0.15  # by which the time stated may be above what is left
