--- a/workspond/downstream/listener.py
+++ b/workspond/downstream/listener.py
@@ -1,4 +1,4 @@
-"""Accepts callers' connections; where descriptors or memory run short they wait in the backlog.
+"""Accepts clients' connections; while descriptors or memory run short, they wait in the backlog.
 
 The event loop's own way to accept closes waiting connections when descriptors run out.
 """
@@ -13,10 +13,11 @@
 
 from workspond.address import Address
 
-BACKLOG = 1024
-ACCEPTED_A_TURN = 16  # fewer than the descriptors kept in hand, as closed ones come back a turn later
-RETRY_S = 0.05  # after a shortage
-# Of this process or the machine. All other errors are those of the connection that was to be accepted.
+BACKLOG = 1024  # connections that the kernel holds for the node
+# Fewer than the descriptors that are kept in reserve, as those of closed connections are free a turn later.
+MAX_ACCEPTS_PER_TURN = 16
+RETRY_S = 0.05  # from a shortage to the next attempt to accept
+# Errors of this process or the machine. All others are those of the connection that was to be accepted.
 SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 log = logging.getLogger("workspond")
@@ -31,16 +32,21 @@
         address: Address,
         make_protocol: Callable[[], asyncio.Protocol],
     ) -> None:
-        """Listen from now on; raises `OSError`."""
-        self._loop, self._make_protocol = loop, make_protocol
+        """Listen from now on.
+
+        Raises:
+            OSError: The address can't be listened on, or the machine runs short (`SHORTAGES`).
+        """
+        self._loop = loop
+        self._make_protocol = make_protocol
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._socket = socket.create_server(address, family=family, backlog=BACKLOG)
         self._socket.setblocking(False)
         self._opening: set[asyncio.Task[None]] = set()
-        self._retry: asyncio.TimerHandle | None = None
-        self._short = False  # so that a shortage is one line, however long it lasts
-        self._closed = False
-        loop.add_reader(self._socket, self._accept_some)
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._has_logged_shortage = False  # so that a shortage is one line, however long it lasts
+        self._is_closed = False
+        loop.add_reader(self._socket, self._accept_waiting)
 
     @property
     def address(self) -> Address:
@@ -50,36 +56,39 @@
 
     @property
     def opening(self) -> int:
-        """Connections that were accepted and have no protocol yet."""
+        """How many connections were accepted and have no protocol yet."""
         return len(self._opening)
 
-    def _accept_some(self) -> None:
-        for _ in range(ACCEPTED_A_TURN):
+    def _accept_waiting(self) -> None:
+        """Accept some of the connections that wait in the backlog."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 connection, _ = self._socket.accept()
             except BlockingIOError:
-                return None
-            except OSError as problem:
-                if problem.errno in SHORTAGES:
-                    return self._pause(problem)
-                log.info("a connection ended before it was accepted: %s", problem)
+                return
+            except OSError as error:
+                if error.errno in SHORTAGES:
+                    self._pause(error)
+                    return
+                log.info('connection ended before it was accepted: reason="%s"', error)
                 continue
-            self._short = False
+            self._has_logged_shortage = False
             self._open(connection)
 
-    def _pause(self, problem: OSError) -> None:
-        """Leave what waits in the backlog for a while."""
-        if not self._short:
-            log.warning("accepting callers later: %s", problem)
-        self._short = True
+    def _pause(self, error: OSError) -> None:
+        """Leave connections in the backlog for a while."""
+        if not self._has_logged_shortage:
+            log.warning('accepting connections is paused by a shortage: reason="%s"', error)
+        self._has_logged_shortage = True
         self._loop.remove_reader(self._socket)
-        self._retry = self._loop.call_later(RETRY_S, self._resume)
+        self._retry_timer = self._loop.call_later(RETRY_S, self._resume)
 
     def _resume(self) -> None:
-        self._retry = None
-        self._loop.add_reader(self._socket, self._accept_some)
+        self._retry_timer = None
+        self._loop.add_reader(self._socket, self._accept_waiting)
 
     def _open(self, connection: socket.socket) -> None:
+        """Have an accepted connection attached to a protocol."""
         task = self._loop.create_task(self._attach(connection))
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
@@ -89,32 +98,36 @@
             connection.setblocking(False)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.connect_accepted_socket(self._make_protocol, connection)
-        except OSError as problem:  # its caller has gone
-            log.info("a connection ended as it was accepted: %s", problem)
+        except OSError as error:  # its client has disconnected
+            log.info('connection ended as it was accepted: reason="%s"', error)
             connection.close()
 
     async def close(self) -> None:
-        """Take no new connections.
+        """Accept no new connections.
 
-        Those that the kernel has accepted go to their protocols first: with a request on it such a connection
-        is the node's, and closing the socket would reset it.
+        Those that the kernel has accepted are attached to their protocols first: such a connection may carry
+        a request that the node is responsible for, and closing the socket would reset it.
         """
-        if self._closed:
+        if self._is_closed:
             return
-        self._closed = True
-        if self._retry is not None:
-            self._retry.cancel()
+        self._is_closed = True
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         self._loop.remove_reader(self._socket)
+        self._accept_backlog()
+        self._socket.close()
+        await asyncio.gather(*self._opening)
+
+    def _accept_backlog(self) -> None:
+        """Accept all that waits in the backlog, up to a shortage."""
         while True:
             try:
                 connection, _ = self._socket.accept()
             except BlockingIOError:
-                break
-            except OSError as problem:
-                if problem.errno in SHORTAGES:
-                    log.warning("callers in the backlog are reset: %s", problem)
-                    break
+                return
+            except OSError as error:
+                if error.errno in SHORTAGES:
+                    log.warning('connections in the backlog are reset: reason="%s"', error)
+                    return
                 continue
             self._open(connection)
-        self._socket.close()
-        await asyncio.gather(*self._opening)
