--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -10,8 +10,7 @@
 
 from tests.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
 from workspond import node
-from workspond.downstream import connection_states as stages
-from workspond.downstream import frontend
+from workspond.downstream import connection_states, frontend
 from workspond.downstream.client_connection import ClientConnection
 from workspond.downstream.connection_states import ConnectionState
 
@@ -19,9 +18,9 @@
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """Limits that a test can wait for."""
-    monkeypatch.setattr(frontend, "SWEEP_S", 0.02)
-    for stage in stages.LIMITS_S:
-        monkeypatch.setitem(stages.LIMITS_S, stage, 0.2)
+    monkeypatch.setattr(frontend, "SWEEP_INTERVAL_S", 0.02)
+    for state in connection_states.STATE_TIMEOUTS_S:
+        monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, state, 0.2)
 
 
 def callers(scene: World) -> int:
@@ -78,7 +77,7 @@
     assert scene.node is not None
     connections = scene.node.frontend.connections
     await until(lambda: len(connections) == 1)
-    [caller] = connections.of(ConnectionState.NEW)
+    [caller] = connections.in_state(ConnectionState.AWAITING_FIRST_REQUEST)
     own = caller._transport.get_extra_info("socket")
     own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return caller
@@ -102,7 +101,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its connection closes only once all is written; till then its request was sent again and again."""
-    monkeypatch.setitem(stages.LIMITS_S, ConnectionState.LEAVING, 1000.0)
+    monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, ConnectionState.FLUSHING, 1000.0)
 
     async def test() -> None:
         server = Server(answer(200, b"x" * 40_000), usual=HANG)
@@ -124,7 +123,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Nothing is read from it meanwhile, so its end was not seen, and its next request went out."""
-    monkeypatch.setitem(stages.LIMITS_S, ConnectionState.LEAVING, 1000.0)
+    monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, ConnectionState.FLUSHING, 1000.0)
 
     async def test() -> None:
         server = Server(usual=answer(200, b"x" * 65536))
@@ -133,7 +132,7 @@
                 caller = await slow_reader(scene, leaver)
                 leaver.settimeout(LIMIT_S)
                 leaver.sendall(b"".join(request(f"{n}") for n in range(8)))
-                await until(lambda: caller._write_paused)
+                await until(lambda: caller._is_writing_paused)
                 leaver.sendall(b"".join(request(f"unread-{n}") for n in range(2)))
                 leaver.shutdown(socket.SHUT_WR)
                 sent = len(server.seen)
@@ -163,11 +162,18 @@
                     assert (await asyncio.to_thread(caller.recv, 1000)).startswith(b"HTTP/1.1 200")
                 connections = scene.node.frontend.connections
                 await until(
-                    lambda: len(connections.of(ConnectionState.IDLE if kept else ConnectionState.NEW)) == 1
+                    lambda: (
+                        len(
+                            connections.in_state(
+                                ConnectionState.IDLE if kept else ConnectionState.AWAITING_FIRST_REQUEST
+                            )
+                        )
+                        == 1
+                    )
                 )
                 [held] = connections.all()
                 caller.sendall(request("b"))  # the loop has no turn till the await
-                held.time_out()
+                held.handle_timeout()
                 assert (await asyncio.to_thread(caller.recv, 1000)).startswith(b"HTTP/1.1 200")
 
     run(test())
@@ -212,8 +218,8 @@
 def test_a_planned_end_does_not_wait_for_callers_that_neither_ask_nor_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for stage in stages.LIMITS_S:
-        monkeypatch.setitem(stages.LIMITS_S, stage, 1000.0)
+    for state in connection_states.STATE_TIMEOUTS_S:
+        monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, state, 1000.0)
     monkeypatch.setattr(node, "LONGEST_MS", 300.0)
     monkeypatch.setattr(node, "LAST_MS", 100.0)
 
--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -1,44 +1,40 @@
-"""A caller's connection: requests in, exactly one answer to each out, in order.
+"""A client's connection: requests in, exactly one response to each out, in the order of the requests.
 
-Whatever a caller sends, only its own connection suffers.
+Whatever a client sends, it affects only its own connection.
 """
 
 from __future__ import annotations
 
 import asyncio
-import select
 import socket
-from collections import deque
 from typing import Protocol, cast
 
-from workspond.clock import now_ms
+from workspond.downstream.close_reason import AbandonReason, CloseReason, rejected_with
 from workspond.downstream.connection_states import ConnectionState
-from workspond.downstream.socket_state import unread_since_ms
+from workspond.downstream.request_pipeline import RequestPipeline
+from workspond.downstream.socket_state import has_client_closed, is_readable
 from workspond.http.request import ClientRequest, InvalidRequestError
-from workspond.http.request_parser import ConnectionRejection, Item, RequestParser
+from workspond.http.request_parser import ConnectionRejection, RequestParser
 from workspond.http.response import Response, render
 from workspond.observability.counters import CountedEvent, EventCounters
 from workspond.policy.settings import RequestClass
 
-MOST_QUEUED = 8  # messages read ahead of their turn; the rest waits unread, or read and not parsed
-PARSE_BYTES = 4096  # taken from what has been read at a time, so that few messages go beyond that
-
 
 class AcceptedRequest(Protocol):
-    """A request that the node has taken, as far as its caller's connection knows it."""
+    """A request that the node has accepted, as its client's connection sees it."""
 
-    def abandon(self, why: str) -> None:
-        """Nobody waits for the answer any more."""
+    def abandon(self, reason: str) -> None:
+        """Give the request up: nobody waits for its response any more."""
 
 
 class ResponseReceiver(Protocol):
-    """Whoever waits for a request's answer, as far as the node knows it."""
+    """Whoever waits for the response to a request, as the node sees it."""
 
-    def send_response(self, reply: Response) -> None:
-        """Give it the request's one answer."""
+    def send_response(self, response: Response) -> None:
+        """Take the one response to the request."""
 
     def has_disconnected(self) -> bool:
-        """Whether it has left."""
+        """Whether nobody waits for the response any more."""
 
 
 class ConnectionOwner(Protocol):
@@ -47,278 +43,272 @@
     classes: dict[str, RequestClass]
     counters: EventCounters
 
-    def accept(self, message: ClientRequest, requester: ResponseReceiver) -> AcceptedRequest:
-        """Have the node take a request; raises `Unacceptable`."""
+    def accept(self, request: ClientRequest, receiver: ResponseReceiver) -> AcceptedRequest:
+        """Have the node accept a request.
+
+        Raises:
+            InvalidRequestError: The node can't accept it.
+        """
 
-    def own_path(self, path: bytes) -> Response:
-        """Answer for the node itself."""
+    def internal_path_response(self, path: bytes) -> Response:
+        """The response to a request for a path of the node itself."""
 
-    def opened(self, connection: ClientConnection) -> None:
-        """Count a connection in."""
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """Track a new connection."""
 
-    def moved(self, connection: ClientConnection, stage: ConnectionState) -> None:
-        """A connection waits for something else now."""
+    def connection_state_changed(self, connection: ClientConnection, state: ConnectionState) -> None:
+        """Track what a connection waits for."""
 
-    def closed(self, connection: ClientConnection) -> None:
-        """Count a connection out."""
+    def connection_closed(self, connection: ClientConnection) -> None:
+        """Stop tracking a connection; it may be called twice."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """A caller's connection. Answers go out in the order of the requests, one at a time."""
+    """A client's connection. Responses go out one at a time, in the order of the requests."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        self.stage: ConnectionState | None = None  # None: not open
+        self.state: ConnectionState | None = None  # None: not open; set by the owner
         self._owner = owner
         self._transport: asyncio.Transport
         self._socket: socket.socket
-        self._parser = RequestParser(owner.classes, owner.own_path)
-        self._queue: deque[Item] = deque()  # read and not yet begun
-        self._unparsed = b""  # read, while the queue was full
-        self._unparsed_came_ms = 0.0  # when that came
-        self._taken: AcceptedRequest | None = None  # the one that the node has
-        self._busy = False  # the node has one, or is just being given it
-        self._closing = False  # closes after what is under way
-        self._ended = False  # the caller has ended its sending, or has been turned away
-        self._write_paused = False  # the caller does not read
-        self._read_paused = False
-        self._asked = False  # a request has been taken
-
-    # The socket
+        self._pipeline = RequestPipeline(RequestParser(owner.classes, owner.internal_path_response))
+        self._active_request: AcceptedRequest | None = None
+        self._awaits_response = False  # the node has a request, or is just being given one
+        self._has_accepted_request = False  # now or earlier
+        self._is_draining = False  # closes after the responses that are owed
+        self._is_input_ended = False  # the client has ended its sending, or nothing more is taken from it
+        self._is_writing_paused = False  # the client does not read
+        self._is_reading_paused = False
+
+    # Callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection in."""
+        """Start to track the connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's is none by class
         self._socket = self._transport.get_extra_info("socket")
-        self._owner.opened(self)
+        self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Serve the requests that are whole by now."""
-        if self._ended or self._parser.finished:
+        """Process the requests that are complete by now."""
+        if self._is_input_ended or self._pipeline.is_finished:
             return
-        if not self._unparsed:
-            # It may have lain unread: in the backlog, while the loop was busy, or while reading was paused.
-            self._unparsed_came_ms = now_ms() - unread_since_ms(self._socket)
-        self._unparsed += data
-        self._serve_next()
-        self._settle()
+        self._pipeline.receive(data, self._socket)
+        self._process_messages()
+        self._update_state()
 
     def eof_received(self) -> None:
-        """Close, once what was written is out.
+        """Close, once what was written has been sent.
 
-        A caller that ends its sending has gone away: nothing more is done for it meanwhile.
+        A client that ends its sending counts as disconnected: its requests are given up.
         """
-        self._closing = self._ended = True
-        self._drop_queued()
-        self._let_go()
-        self._settle()
+        self._end_input()
+        self._abandon_active_request(AbandonReason.CLIENT_DISCONNECTED)
+        self._update_state()
 
     def pause_writing(self) -> None:
-        """The caller does not read: take nothing more from it, and give it so long."""
-        self._write_paused = True
+        """Read nothing more from a client that does not read; the timeout of its state starts."""
+        self._is_writing_paused = True
         self._control_reading()
-        self._settle()
+        self._update_state()
 
     def resume_writing(self) -> None:
-        """The caller has read what it was sent: go on."""
-        self._write_paused = False
-        if not self._ended and not self._transport.is_closing():
-            self._serve_next()
-            self._settle()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """Count the connection out, and let its request go."""
-        self._ended = True
-        self._drop_queued()
-        self._owner.closed(self)
-        self._let_go()
-
-    def _drop_queued(self) -> None:
-        """Forget what has been read and not begun."""
-        self._queue.clear()
-        self._unparsed = b""
-
-    def _let_go(self, why: str = "left by its caller") -> None:
-        """Tell the node that nobody waits for the request it has."""
-        taken, self._taken, self._busy = self._taken, None, False
-        if taken is not None:
-            taken.abandon(why)
-
-    def _settle(self) -> None:
-        """Note what the connection waits for now."""
-        if self.stage is not None:
-            self._owner.moved(self, self._current_stage())
-
-    def _current_stage(self) -> ConnectionState:
-        if self._ended or self._write_paused or self._transport.is_closing():
-            return ConnectionState.LEAVING
-        if self._queue and isinstance(self._queue[-1], ConnectionRejection):
+        """Go on with a client that has read what was sent to it."""
+        self._is_writing_paused = False
+        if not self._is_input_ended and not self._transport.is_closing():
+            self._process_messages()
+            self._update_state()
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Stop tracking the connection, and give up its request."""
+        self._is_input_ended = True
+        self._pipeline.clear()
+        self._owner.connection_closed(self)
+        self._abandon_active_request(AbandonReason.CLIENT_DISCONNECTED)
+
+    # State of the connection
+
+    def _update_state(self) -> None:
+        if self.state is not None:
+            self._owner.connection_state_changed(self, self._current_state())
+
+    def _current_state(self) -> ConnectionState:
+        if self._is_input_ended or self._is_writing_paused or self._transport.is_closing():
+            return ConnectionState.FLUSHING
+        if self._pipeline.ends_with_rejection:
             return ConnectionState.REJECTING
-        if self._asked and self._parser.partial and not self._unparsed:
-            return (
-                ConnectionState.READING
-            )  # also behind a request in work: whoever stops midway is owed an error soon
-        if self._busy or self._queue:
-            return ConnectionState.SERVING
-        if not self._asked:
-            return ConnectionState.NEW
-        return ConnectionState.IDLE
-
-    def drain(self) -> None:
-        """Close after what is under way, read by the loop or not yet; at once if nothing is."""
-        self._closing = True
-        if not self._busy and not self._owes_more():
-            self._close("the node ends")
-
-    def _polled(self, events: int) -> bool:
-        """Ask the socket itself: the loop hears of it only once a turn."""
-        poll = select.poll()
-        poll.register(self._socket.fileno(), events)
-        return bool(poll.poll(0))
-
-    def time_out(self) -> None:
-        """Its stage has lasted too long."""
-        if self.stage is ConnectionState.LEAVING:
-            self.abort("it did not read what it was sent")
-        elif self.stage is ConnectionState.REJECTING:
-            self._fail_owed()
-        elif self._parser.partial:
-            self._parser.stop()
-            self._queue.append(ConnectionRejection(Response(408, b"the request took too long to come")))
-            self._fail_owed()
-        elif (
-            not self.has_unread_data()
-        ):  # else a request crosses the limit: closed over it, it would be reset
-            self._close(f"it waited too long for {self.stage.value if self.stage else 'nothing'}")
-
-    def _close(self, why: str) -> None:
-        """Close it, with nothing on it."""
-        self._owner.counters.increment(CountedEvent.CONNECTION_CLOSED, why)
-        self._closing = True
-        self._transport.close()
-        self._settle()
-
-    def abort(self, why: str) -> None:
-        """End it at once, whatever is on it."""
-        self._owner.counters.increment(CountedEvent.CONNECTION_CLOSED, why)
-        self._ended = True
-        self._owner.closed(self)  # now: its socket is as good as given back
-        self._transport.abort()
-
-    def _fail_owed(self) -> None:
-        """Answer what is owed before a rejection now, so that the rejection is not late."""
-        if self._busy:
-            self._let_go("given up for the error behind it")
-            self._write(Response(504, b"given up"))
-        owed, self._queue = self._queue, deque()
-        for item in owed:
-            self._queue.append(Response(504, b"given up") if isinstance(item, ClientRequest) else item)
-        self._serve_next()
-        self._settle()
-
-    def _reject(self, rejection: ConnectionRejection) -> None:
-        """Tell the error that ends the connection; all that came before it has its answer."""
-        self._owner.counters.increment(
-            CountedEvent.CONNECTION_CLOSED, f"rejected with {rejection.response.status}"
-        )
-        self._closing = self._ended = True
-        self._drop_queued()
-        self._transport.write(render(rejection.response, close=True))
-        self._close_in_order()
-
-    # Requests and answers
-
-    def _serve_next(self) -> None:
-        """Answer what can be answered now, in order; read on where there is room for more."""
-        self._parse()
-        while self._queue and not self._busy and not self._write_paused and not self._transport.is_closing():
-            item = self._queue.popleft()
-            if isinstance(item, ClientRequest):
-                self._take(item)
-            elif isinstance(item, ConnectionRejection):
-                self._reject(item)
-            else:
-                self._write(item)
-            self._parse()
-        self._control_reading()
-
-    def _parse(self) -> None:
-        """Parse what has been read, as far as the queue has room."""
-        while self._unparsed and len(self._queue) < MOST_QUEUED and not self._parser.finished:
-            piece, self._unparsed = self._unparsed[:PARSE_BYTES], self._unparsed[PARSE_BYTES:]
-            self._queue.extend(self._parser.feed(piece, self._unparsed_came_ms))
-        if self._parser.finished:
-            self._closing, self._unparsed = True, b""
-
-    def _control_reading(self) -> None:
-        """Read from the caller only where it reads its answers, and what was read has been parsed."""
-        if self._ended or self._transport.is_closing():
-            return
-        pause = self._write_paused or bool(self._unparsed)
-        if pause != self._read_paused:
-            self._read_paused = pause
-            (self._transport.pause_reading if pause else self._transport.resume_reading)()
-
-    def _take(self, message: ClientRequest) -> None:
-        self._busy = True
-        try:
-            taken = self._owner.accept(message, self)
-        except InvalidRequestError as problem:
-            self._busy = False
-            return self._write(Response(400, str(problem).encode()))
-        self._asked = True
-        if self._busy:  # it may have been answered at once
-            self._taken = taken
+        # Also while the node has an earlier request: a client that stops midway is owed an error soon.
+        if self._has_accepted_request and self._pipeline.awaits_rest_of_message:
+            return ConnectionState.READING_REQUEST
+        if self._awaits_response or self._pipeline.has_queued_messages:
+            return ConnectionState.AWAITING_RESPONSE
+        return ConnectionState.IDLE if self._has_accepted_request else ConnectionState.AWAITING_FIRST_REQUEST
 
     def has_unread_data(self) -> bool:
-        """Whether it has sent something, or its end, that the loop has yet to read and will."""
-        reads = not (self._read_paused or self._ended or self._transport.is_closing())
-        return reads and self._polled(select.POLLIN)
+        """Whether the client has sent data, or its end, that the event loop has yet to read and will."""
+        is_reading = not (self._is_reading_paused or self._is_input_ended or self._transport.is_closing())
+        return is_reading and is_readable(self._socket)
 
     def has_disconnected(self) -> bool:
-        """Whether it has closed, or ended its sending, by the socket itself; no more is done for it then.
+        """Whether the client has closed the connection or ended its sending, by the socket itself.
 
-        Timers, and what else came in the same turn of the loop, may run before the end is read; after a turn
-        that took long, or where it is not read from, long after it came.
+        Its requests are given up then. The event loop may know of it too late: timers, and what else was read
+        in the same turn of the loop, may run before the end is read; after a turn that took long, or where
+        the connection is not read from, long after it was received.
         """
-        if self._ended or self._transport.is_closing():
+        if self._is_input_ended or self._transport.is_closing():
             return True
-        if not self._polled(select.POLLRDHUP):
+        if not has_client_closed(self._socket):
             return False
-        self._closing = self._ended = True
-        self._drop_queued()
-        if self._read_paused:
+        self._end_input()
+        if self._is_reading_paused:
             self._transport.resume_reading()  # up to that end, which closes it once all is written
-        self._settle()
+        self._update_state()
         return True
 
-    def send_response(self, reply: Response) -> None:
-        """The node's answer to the request it has."""
-        self._taken, self._busy = None, False
-        if not self._transport.is_closing():
-            self._write(reply)
-            self._serve_next()
-            self._settle()
+    def _end_input(self) -> None:
+        """Take nothing more from the client, and drop what has not been started."""
+        self._is_draining = True
+        self._is_input_ended = True
+        self._pipeline.clear()
+
+    # Requests and responses
+
+    def _process_messages(self) -> None:
+        """Start what can be started, in order; read on where the queue has capacity for more."""
+        self._pipeline.parse()
+        while self._pipeline.has_queued_messages and self._can_start_message():
+            message = self._pipeline.next_message()
+            if isinstance(message, ClientRequest):
+                self._accept(message)
+            elif isinstance(message, ConnectionRejection):
+                self._reject(message)
+            else:
+                self._write(message)
+            self._pipeline.parse()
+        self._control_reading()
 
-    def _write(self, reply: Response) -> None:
-        close = self._closing and not self._owes_more()
-        self._transport.write(render(reply, close))
-        if close:
-            self._close_in_order()
+    def _can_start_message(self) -> bool:
+        return not (self._awaits_response or self._is_writing_paused or self._transport.is_closing())
 
-    def _owes_more(self) -> bool:
+    def _accept(self, request: ClientRequest) -> None:
+        """Have the node accept a request."""
+        self._awaits_response = True
+        try:
+            active_request = self._owner.accept(request, self)
+        except InvalidRequestError as error:
+            self._awaits_response = False
+            self._write(Response(400, str(error).encode()))
+            return
+        self._has_accepted_request = True
+        if self._awaits_response:  # it may have been answered at once
+            self._active_request = active_request
+
+    def send_response(self, response: Response) -> None:
+        """Write the node's response to the active request, and go on with the next one."""
+        self._active_request = None
+        self._awaits_response = False
+        if not self._transport.is_closing():
+            self._write(response)
+            self._process_messages()
+            self._update_state()
+
+    def _write(self, response: Response) -> None:
+        closes = self._pipeline.is_finished or self._is_draining
+        is_last = closes and not self._has_more_input()
+        self._transport.write(render(response, close=is_last))
+        if is_last:
+            self._close_when_written()
+
+    def _has_more_input(self) -> bool:
         """Whether another message has been read, has begun, or waits to be read."""
-        if self._queue or self._unparsed or self._parser.partial:
+        if self._pipeline.has_more():
             return True
-        return not self._parser.finished and self._polled(select.POLLIN)
+        return not self._pipeline.is_finished and is_readable(self._socket)
+
+    def _abandon_active_request(self, reason: AbandonReason) -> None:
+        """Tell the node that nobody waits for the response to the active request."""
+        request = self._active_request
+        self._active_request = None
+        self._awaits_response = False
+        if request is not None:
+            request.abandon(reason)
+
+    def _control_reading(self) -> None:
+        """Read only from a client that reads its responses, and only once all that was read is parsed."""
+        if self._is_input_ended or self._transport.is_closing():
+            return
+        pause = self._is_writing_paused or self._pipeline.has_unparsed_data
+        if pause == self._is_reading_paused:
+            return
+        self._is_reading_paused = pause
+        if pause:
+            self._transport.pause_reading()
+        else:
+            self._transport.resume_reading()
 
-    def _close_in_order(self) -> None:
-        """Close so that what was written can be read.
+    # Closing
+
+    def drain(self) -> None:
+        """Close after the responses that are owed, also those to unread requests; at once if none is."""
+        self._is_draining = True
+        if not self._awaits_response and not self._has_more_input():
+            self._close(CloseReason.NODE_STOPPING)
+
+    def handle_timeout(self) -> None:
+        """End what the connection waits for: the timeout of its state has passed."""
+        if self.state is ConnectionState.FLUSHING:
+            self.abort(CloseReason.RESPONSE_NOT_READ)
+        elif self.state is ConnectionState.REJECTING:
+            self._fail_pending_requests()
+        elif self._pipeline.has_partial_message:
+            self._pipeline.reject(Response(408, b"the request took too long to come"))
+            self._fail_pending_requests()
+        elif not self.has_unread_data():  # closed over a request, the connection would be reset
+            never_used = self.state is ConnectionState.AWAITING_FIRST_REQUEST
+            self._close(CloseReason.NO_REQUEST if never_used else CloseReason.IDLE)
+
+    def _fail_pending_requests(self) -> None:
+        """Answer the requests before a rejection with errors now, so that the rejection is not late."""
+        response = Response(504, b"given up")
+        if self._awaits_response:
+            self._abandon_active_request(AbandonReason.REJECTION_DUE)
+            self._write(response)
+        self._pipeline.answer_requests_with(response)
+        self._process_messages()
+        self._update_state()
+
+    def _reject(self, rejection: ConnectionRejection) -> None:
+        """Write the error that ends the connection; all that preceded it has its response."""
+        self._count_close(rejected_with(rejection.response.status))
+        self._end_input()
+        self._transport.write(render(rejection.response, close=True))
+        self._close_when_written()
+
+    def _close_when_written(self) -> None:
+        """Close so that the client can read what was written.
 
         Closed over bytes that are unread, or still to come, the connection would be reset.
         """
-        if self._parser.partial or self._polled(select.POLLIN):
-            self._ended = True
+        if self._pipeline.has_partial_message or is_readable(self._socket):
+            self._is_input_ended = True
             self._transport.pause_reading()
             self._transport.write_eof()
         else:
             self._transport.close()
+
+    def _close(self, reason: CloseReason) -> None:
+        """Close a connection on which nothing is owed."""
+        self._count_close(reason)
+        self._is_draining = True
+        self._transport.close()
+        self._update_state()
+
+    def abort(self, reason: CloseReason) -> None:
+        """Close at once, whatever is owed."""
+        self._count_close(reason)
+        self._is_input_ended = True
+        self._owner.connection_closed(self)  # now: its socket is as good as free
+        self._transport.abort()
+
+    def _count_close(self, reason: str) -> None:
+        self._owner.counters.increment(CountedEvent.CONNECTION_CLOSED, reason)
--- a/workspond/downstream/connection_states.py
+++ b/workspond/downstream/connection_states.py
@@ -1,8 +1,8 @@
-"""What callers' connections wait for, and how long each may.
+"""What clients' connections wait for, and for how long each may.
 
-A connection always waits for one thing at a time, its stage, and each stage has a limit. Connections of a
-stage are kept in the order in which they came to it, so that one sweep ends those over their limit, and the
-first of a stage is the one to go when descriptors run short.
+A connection waits for one thing at a time, its state, and each state has a timeout. The connections of a
+state are kept in the order in which they entered it, so that one sweep finds those over their timeout, and
+the first of a state is the one to close when connections run short.
 """
 
 from __future__ import annotations
@@ -13,81 +13,89 @@
 
 
 class ConnectionState(Enum):
-    """What a caller's connection waits for."""
-
-    NEW = "its first request, whole"
-    READING = "the rest of a request"
-    SERVING = "an answer from the node"
-    IDLE = "the next request"
-    REJECTING = "answers that are owed before the error that ends the connection"
-    LEAVING = "the caller, to read what it was sent"
-
-
-LIMITS_S = {
-    ConnectionState.NEW: 2.0,  # a silent or slow caller is owed an error or a close within 3 s of connecting
-    ConnectionState.READING: 2.0,
-    ConnectionState.REJECTING: 2.0,  # the error too is owed within 3 s
-    ConnectionState.IDLE: 10.0,  # many ask once and stay; a reconnect of one that asks again costs it little
-    ConnectionState.LEAVING: 2.0,
-}  # SERVING has none of its own: each request ends at its deadline
-# Who goes first for a new caller at the most there may be: those that never asked, then the longest idle.
-EXPENDABLE = (ConnectionState.LEAVING, ConnectionState.NEW, ConnectionState.IDLE)
+    """What a client's connection waits for."""
+
+    AWAITING_FIRST_REQUEST = "first request, to its end"
+    READING_REQUEST = "rest of a request"
+    AWAITING_RESPONSE = "response from the node"
+    IDLE = "next request"
+    REJECTING = "responses that precede the error that ends the connection"
+    FLUSHING = "client to read its responses"
+
+
+STATE_TIMEOUTS_S = {
+    # A silent or slow client is owed an error or a close within 3 s of connecting; a rejection, also in 3 s.
+    ConnectionState.AWAITING_FIRST_REQUEST: 2.0,
+    ConnectionState.READING_REQUEST: 2.0,
+    ConnectionState.REJECTING: 2.0,
+    # Many clients send one request and stay; a reconnect costs one that sends another only little.
+    ConnectionState.IDLE: 10.0,
+    ConnectionState.FLUSHING: 2.0,
+}  # AWAITING_RESPONSE has none of its own: each request ends at its deadline
+
+# At the connection limit these are closed for new clients: first those that never sent a request, then the
+# longest idle.
+EVICTION_ORDER = (
+    ConnectionState.FLUSHING,
+    ConnectionState.AWAITING_FIRST_REQUEST,
+    ConnectionState.IDLE,
+)
 
 
 class TrackedConnection(Protocol):
-    """A connection that is in one stage at a time; None: not open."""
+    """A connection that is in one state at a time; None: it is not open."""
 
-    stage: ConnectionState | None
-
-    def time_out(self) -> None:
-        """End what its stage waits for: it has lasted too long."""
+    state: ConnectionState | None
 
 
 Connection = TypeVar("Connection", bound=TrackedConnection)
 
 
 class ConnectionTable(Generic[Connection]):
-    """All open connections by stage, each with the time at which it came to it."""
+    """All open connections by state, each with the time at which it entered that."""
 
     def __init__(self) -> None:
-        self._by_stage: dict[ConnectionState, dict[Connection, float]] = {
-            stage: {} for stage in ConnectionState
+        self._entered_at_s: dict[ConnectionState, dict[Connection, float]] = {
+            state: {} for state in ConnectionState
         }
 
     def __len__(self) -> int:
-        return sum(map(len, self._by_stage.values()))
+        return sum(map(len, self._entered_at_s.values()))
 
-    def enter(self, connection: Connection, stage: ConnectionState, now_s: float) -> None:
-        """Put a connection into a stage; its time begins anew only where that is another one."""
-        if connection.stage is not stage:
+    def set_state(self, connection: Connection, state: ConnectionState, now_s: float) -> None:
+        """Put a connection into a state; its timeout starts again only if that is another one."""
+        if connection.state is not state:
             self.remove(connection)
-            connection.stage = stage
-            self._by_stage[stage][connection] = now_s
+            connection.state = state
+            self._entered_at_s[state][connection] = now_s
 
     def remove(self, connection: Connection) -> None:
-        """Count a connection out; nothing if it is not there."""
-        if connection.stage is not None:
-            del self._by_stage[connection.stage][connection]
-            connection.stage = None
+        """Remove a connection; nothing happens if it is not open."""
+        if connection.state is not None:
+            del self._entered_at_s[connection.state][connection]
+            connection.state = None
 
-    def of(self, stage: ConnectionState) -> list[Connection]:
-        """The connections of a stage, the longest there first."""
-        return list(self._by_stage[stage])
+    def in_state(self, state: ConnectionState) -> list[Connection]:
+        """The connections of a state, first the one that entered it first."""
+        return list(self._entered_at_s[state])
 
     def all(self) -> list[Connection]:
         """All open connections."""
-        return [connection for stage in ConnectionState for connection in self._by_stage[stage]]
+        return [connection for state in ConnectionState for connection in self._entered_at_s[state]]
+
+    def eviction_candidates(self) -> Iterator[Connection]:
+        """Connections that are owed no response, in the order in which to close them."""
+        return (connection for state in EVICTION_ORDER for connection in self._entered_at_s[state])
 
-    def expendable(self) -> Iterator[Connection]:
-        """Those that are owed nothing, the first to go first."""
-        return (connection for stage in EXPENDABLE for connection in self._by_stage[stage])
+    def timed_out(self, now_s: float) -> list[Connection]:
+        """Connections over the timeout of their state.
 
-    def overdue(self, now_s: float) -> list[Connection]:
-        """Those over the limit of their stage. Each stage is in order of time, so its head tells."""
+        Each state is in order of time, so the search in it ends at the first that is in time.
+        """
         late = []
-        for stage, limit_s in LIMITS_S.items():
-            for connection, since_s in self._by_stage[stage].items():
-                if now_s - since_s < limit_s:
+        for state, timeout_s in STATE_TIMEOUTS_S.items():
+            for connection, entered_at_s in self._entered_at_s[state].items():
+                if now_s - entered_at_s < timeout_s:
                     break
                 late.append(connection)
         return late
--- a/workspond/http/response.py
+++ b/workspond/http/response.py
@@ -1,4 +1,4 @@
-"""What a caller is told: one answer, and its form on the connection."""
+"""The response to a client, and its form on the connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """An answer to a caller."""
+    """A response to a client."""
 
     status: int
     body: bytes = b""
@@ -16,14 +16,14 @@
     retry_after_s: float | None = None
 
 
-def render(reply: Response, close: bool) -> bytes:
-    """An answer as one piece of bytes, to be written at once; `close`: it is the connection's last."""
-    lines = [f"HTTP/1.1 {reply.status} {HTTPStatus(reply.status).phrase}\r\n"]
-    if reply.content_type is not None:
-        lines.append(f"Content-Type: {reply.content_type.decode('latin-1')}\r\n")
-    if reply.retry_after_s is not None:
-        lines.append(f"Retry-After: {reply.retry_after_s:.3f}\r\n")
+def render(response: Response, *, close: bool) -> bytes:
+    """A response in one piece, to be written at once; `close`: it is the last of its connection."""
+    lines = [f"HTTP/1.1 {response.status} {HTTPStatus(response.status).phrase}\r\n"]
+    if response.content_type is not None:
+        lines.append(f"Content-Type: {response.content_type.decode('latin-1')}\r\n")
+    if response.retry_after_s is not None:
+        lines.append(f"Retry-After: {response.retry_after_s:.3f}\r\n")
     if close:
         lines.append("Connection: close\r\n")
-    lines.append(f"Content-Length: {len(reply.body)}\r\n\r\n")
-    return "".join(lines).encode("latin-1") + reply.body
+    lines.append(f"Content-Length: {len(response.body)}\r\n\r\n")
+    return "".join(lines).encode("latin-1") + response.body
