--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -134,12 +134,12 @@
     def _current_state(self) -> ConnectionState:
         if self._is_input_ended or self._is_writing_paused or self._transport.is_closing():
             return ConnectionState.FLUSHING
-        if self._pipeline.ends_with_rejection:
+        if self._pipeline.ends_with_rejection():
             return ConnectionState.REJECTING
         # Also while the node has an earlier request: a client that stops midway is owed an error soon.
-        if self._has_accepted_request and self._pipeline.awaits_rest_of_message:
+        if self._has_accepted_request and self._pipeline.has_partial_message and not self._pipeline.unparsed:
             return ConnectionState.READING_REQUEST
-        if self._awaits_response or self._pipeline.has_queued_messages:
+        if self._awaits_response or self._pipeline.messages:
             return ConnectionState.AWAITING_RESPONSE
         return ConnectionState.IDLE if self._has_accepted_request else ConnectionState.AWAITING_FIRST_REQUEST
 
@@ -175,20 +175,21 @@
 
     def _process_messages(self) -> None:
         """Start what can be started, in order; read on where the queue has capacity for more."""
-        self._pipeline.parse()
-        while self._pipeline.has_queued_messages and self._can_start_message():
-            message = self._pipeline.next_message()
+        pipeline = self._pipeline
+        pipeline.parse()
+        while pipeline.messages and not self._awaits_response and not self._is_output_blocked():
+            message = pipeline.messages.popleft()
             if isinstance(message, ClientRequest):
                 self._accept(message)
             elif isinstance(message, ConnectionRejection):
                 self._reject(message)
             else:
                 self._write(message)
-            self._pipeline.parse()
+            pipeline.parse()
         self._control_reading()
 
-    def _can_start_message(self) -> bool:
-        return not (self._awaits_response or self._is_writing_paused or self._transport.is_closing())
+    def _is_output_blocked(self) -> bool:
+        return self._is_writing_paused or self._transport.is_closing()
 
     def _accept(self, request: ClientRequest) -> None:
         """Have the node accept a request."""
@@ -213,8 +214,7 @@
             self._update_state()
 
     def _write(self, response: Response) -> None:
-        closes = self._pipeline.is_finished or self._is_draining
-        is_last = closes and not self._has_more_input()
+        is_last = (self._is_draining or self._pipeline.is_finished) and not self._has_more_input()
         self._transport.write(render(response, close=is_last))
         if is_last:
             self._close_when_written()
@@ -237,7 +237,7 @@
         """Read only from a client that reads its responses, and only once all that was read is parsed."""
         if self._is_input_ended or self._transport.is_closing():
             return
-        pause = self._is_writing_paused or self._pipeline.has_unparsed_data
+        pause = self._is_writing_paused or bool(self._pipeline.unparsed)
         if pause == self._is_reading_paused:
             return
         self._is_reading_paused = pause
--- a/workspond/http/request_parser.py
+++ b/workspond/http/request_parser.py
@@ -98,10 +98,6 @@
             self.is_finished = True
             self._messages.append(ConnectionRejection(Response(status, reason.encode())))
 
-    def stop(self) -> None:
-        """Parse nothing more."""
-        self.is_finished = True
-
     def on_message_begin(self) -> None:
         """Start a message."""
         self.has_partial_message = True
