--- /dev/null
+++ b/tests/client_helpers.py
@@ -0,0 +1,52 @@
+"""What tests of clients' connections share: plain sockets as clients, and what the node holds for them."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from tests.peers import LIMIT_S, World, until
+from workspond.node import Node
+
+
+def running_node(scene: World) -> Node:
+    """The node of a scene that runs in this process."""
+    assert scene.node is not None
+    return scene.node
+
+
+async def ready_node(scene: World) -> Node:
+    """The node of a scene, once it has servers to send to."""
+    node = running_node(scene)
+    await until(node.is_ready)
+    return node
+
+
+def open_connections(scene: World) -> int:
+    """How many connections of clients the node holds."""
+    return running_node(scene).frontend.connection_count()
+
+
+def open_requests(node: Node) -> int:
+    """How many requests the node owes a response."""
+    assert len(node._open_ids) == len(node._live)
+    return len(node._live)
+
+
+async def connect(scene: World) -> socket.socket:
+    """A client's socket that the node has accepted; it does nothing by itself."""
+    await ready_node(scene)
+    before = open_connections(scene)
+    client = socket.create_connection(scene.address, LIMIT_S)
+    await until(lambda: open_connections(scene) == before + 1)
+    return client
+
+
+async def receive(client: socket.socket) -> bytes:
+    """What a client's socket receives next, while the event loop runs."""
+    return await asyncio.to_thread(client.recv, 1000)
+
+
+def is_ok(response: bytes) -> bool:
+    """Whether a response as it was received is that to a request that was served."""
+    return response.startswith(b"HTTP/1.1 200")
