--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A process whose descriptors idle callers fill up, by a real limit, while discovery is down."""
+"""A process whose descriptors idle clients use up, by a real limit, while the discovery agent is down."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 import resource
 import signal
 import socket
-from collections.abc import Iterator
+from collections.abc import AsyncIterator, Iterator
+from enum import Enum
 from pathlib import Path
 
 import pytest
@@ -16,13 +17,24 @@
 from tests.peers import HANG, Caller, Registry, Server, request, run, until, world
 from tests.test_node import Program
 
-TOLD_S = 6.0  # after the return of discovery
-HELD = 4  # callers that have a request out
+MAX_UPDATE_LATENCY_S = 6.0  # from the agent's return to the node's next watch
+MAX_RELOAD_LATENCY_S = 4.0  # from SIGHUP to a watch at the new address
+PENDING_REQUESTS = 4  # clients that wait for a response
+READY_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
+
+Address = tuple[str, int]
+
+
+class AgentFailure(Enum):
+    """How calls to the discovery agent fail."""
+
+    REFUSED = "refused"
+    SILENT = "silent"
 
 
 @pytest.fixture
-def room_for_callers() -> Iterator[None]:
-    """The test holds as many sockets as the program and more."""
+def sockets_for_clients() -> Iterator[None]:
+    """A higher limit for the test itself: it holds as many sockets as the program, and more."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = 4096 if hard == resource.RLIM_INFINITY else min(4096, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, wanted), hard))
@@ -30,94 +42,132 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-async def crowd(address: tuple[str, int], count: int) -> list[socket.socket]:
-    """So many callers that connect at once and say nothing."""
-    idle = []
-    for _ in range(count):
-        caller = socket.socket()
-        caller.setblocking(False)
-        with contextlib.suppress(BlockingIOError):
-            caller.connect(address)
-        idle.append(caller)
-    await asyncio.sleep(0)
-    return idle
+class IdleClients:
+    """Clients that connect and send nothing, many at once."""
+
+    def __init__(self, address: Address) -> None:
+        self._address = address
+        self._sockets: list[socket.socket] = []
+
+    async def connect(self, count: int) -> None:
+        """Connect so many more."""
+        for _ in range(count):
+            client = socket.socket()
+            client.setblocking(False)
+            with contextlib.suppress(BlockingIOError):
+                client.connect(self._address)
+            self._sockets.append(client)
+        await asyncio.sleep(0)
 
+    def close(self) -> None:
+        for client in self._sockets:
+            client.close()
 
-async def ask(address: tuple[str, int], data: bytes) -> int:
-    """Ask on a new connection until one is not shut unread; the status."""
+
+async def status_of(address: Address, data: bytes) -> int:
+    """Send a request, each time on a new connection, until one is not closed unread; its status."""
     while True:
-        with contextlib.suppress(ConnectionError, AssertionError):  # shut: "closed without an answer"
-            caller = Caller(*await asyncio.open_connection(*address))
+        with contextlib.suppress(ConnectionError, AssertionError):  # closed: "closed without an answer"
+            client = Caller(*await asyncio.open_connection(*address))
             try:
-                caller.write(data)
-                return (await caller.read()).status
+                client.write(data)
+                return (await client.read()).status
             finally:
-                caller.writer.close()
+                client.writer.close()
         await asyncio.sleep(0.02)
 
 
-@pytest.mark.usefixtures("room_for_callers")
+async def until_ready(address: Address) -> None:
+    """Wait until the program has endpoints to send to."""
+    while True:
+        if await status_of(address, READY_CHECK) == 200:
+            return
+        await asyncio.sleep(0.05)
+
+
+async def send_pending_requests(address: Address) -> list[Caller]:
+    """Clients with a request each to which there is no response yet."""
+    clients = []
+    for number in range(PENDING_REQUESTS):
+        client = Caller(*await asyncio.open_connection(*address))
+        client.write(request(f"held-{number}"))
+        clients.append(client)
+    return clients
+
+
+def fail_agent(agent: Registry, failure: AgentFailure) -> None:
+    if failure is AgentFailure.REFUSED:
+        agent._server.close()
+    else:
+        agent.gate.clear()
+
+
+async def restore_agent(agent: Registry, failure: AgentFailure) -> None:
+    if failure is AgentFailure.REFUSED:
+        host, _, port = agent.address.rpartition(":")
+        agent._server = await asyncio.start_server(agent._serve, host, int(port))
+    agent.gate.set()
+
+
+@contextlib.asynccontextmanager
+async def started(*peers: Server | Registry) -> AsyncIterator[None]:
+    """Peers that run apart from those of a scene."""
+    for peer in peers:
+        await peer.start()
+    try:
+        yield
+    finally:
+        for peer in peers:
+            await peer.stop()
+
+
+@pytest.mark.usefixtures("sockets_for_clients")
 @pytest.mark.parametrize("limit", [256, 512, 1024])
-@pytest.mark.parametrize("down", ["refused", "silent"])
+@pytest.mark.parametrize("failure", AgentFailure, ids=lambda failure: failure.value)
 def test_a_node_full_of_idle_callers_hears_discovery_again_and_serves(
-    limit: int, down: str, tmp_path: Path
+    limit: int, failure: AgentFailure, tmp_path: Path
 ) -> None:
-    ready = b"GET /-/ready HTTP/1.1\r\n\r\n"
+    old = Server(usual=HANG, name="old")
+    new = Server(name="new")
+    other = Server(name="other")
+    agent_elsewhere = Registry()
 
     async def test() -> None:
-        old, new, other = Server(usual=HANG, name="old"), Server(name="new"), Server(name="other")
-        moved = Registry()
-        for peer in (new, other, moved):
-            await peer.start()
-        moved.whole = [other.entry()]
-        async with world(
-            tmp_path, old, start=False, sockets=limit, membership_mode="pushed", tier=1
-        ) as scene:
-            host, _, port = scene.registry.address.rpartition(":")
-            if down == "refused":
-                scene.registry._server.close()
-            else:
-                scene.registry.gate.clear()
+        async with (
+            started(new, other, agent_elsewhere),
+            world(tmp_path, old, start=False, sockets=limit, membership_mode="pushed", tier=1) as scene,
+        ):
+            agent_elsewhere.whole = [other.entry()]
+            fail_agent(scene.registry, failure)
             program = await Program.start(scene, descriptors=limit)
-            assert await ask(scene.address, ready) in (200, 500)
-            idle = await crowd(scene.address, limit + 100)
-            while await ask(scene.address, ready) != 200:  # on its saved list
-                await asyncio.sleep(0.05)
-            held = []
-            for n in range(HELD):
-                caller = Caller(*await asyncio.open_connection(*scene.address))
-                caller.write(request(f"held-{n}"))
-                held.append(caller)
-            await until(lambda: len({seen.id for seen in old.seen}) == HELD)
-            idle += await crowd(scene.address, limit + 100)
-            assert await ask(scene.address, ready) == 200
+            assert await status_of(scene.address, READY_CHECK) in (200, 500)
+            idle = IdleClients(scene.address)
+            await idle.connect(limit + 100)
+            await until_ready(scene.address)  # by its cached endpoints
+            pending = await send_pending_requests(scene.address)
+            await until(lambda: len({seen.id for seen in old.seen}) == PENDING_REQUESTS)
+            await idle.connect(limit + 100)
+            assert await status_of(scene.address, READY_CHECK) == 200
 
             scene.registry.whole = [new.entry()]
-            async with asyncio.timeout(TOLD_S):
-                if down == "refused":
-                    scene.registry._server = await asyncio.start_server(
-                        scene.registry._serve, host, int(port)
-                    )
-                scene.registry.gate.set()
-                idle += await crowd(scene.address, limit + 100)
+            async with asyncio.timeout(MAX_UPDATE_LATENCY_S):
+                await restore_agent(scene.registry, failure)
+                await idle.connect(limit + 100)
                 await until(lambda: scene.registry.watches() >= 1)
-            assert await ask(scene.address, request("fresh")) == 200
+            assert await status_of(scene.address, request("fresh")) == 200
             assert "fresh" in [seen.id for seen in new.seen]
 
             # A new configuration is a file to open: there is a descriptor left for it.
-            idle += await crowd(scene.address, limit + 100)
-            scene.path.write_text(json.dumps(scene.config | {"discovery": moved.address}))
+            await idle.connect(limit + 100)
+            scene.path.write_text(json.dumps(scene.config | {"discovery": agent_elsewhere.address}))
             program.process.send_signal(signal.SIGHUP)
-            async with asyncio.timeout(4.0):
-                await until(lambda: moved.watches() >= 1)
-            assert await ask(scene.address, request("moved")) == 200
+            async with asyncio.timeout(MAX_RELOAD_LATENCY_S):
+                await until(lambda: agent_elsewhere.watches() >= 1)
+            assert await status_of(scene.address, request("moved")) == 200
             assert [seen.id for seen in other.seen] == ["moved"]
 
-            for caller in held:
-                caller.writer.close()
-            for connection in idle:
-                connection.close()
-        for peer in (new, other, moved):
-            await peer.stop()
+            for client in pending:
+                client.writer.close()
+            idle.close()
 
     run(test())
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,8 +1,9 @@
-"""Shortages while callers connect: they wait in the backlog until there is room again."""
+"""Shortages while clients connect or a file is to be opened: the node waits until they are over."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import errno
 import functools
 import json
@@ -10,13 +11,14 @@
 import resource
 import signal
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from pathlib import Path
 from typing import Any, cast
 
 import pytest
 
-from tests.peers import LIMIT_S, Registry, Server, request, run, until, world
+from tests.client_helpers import is_ok, ready_node, receive
+from tests.peers import LIMIT_S, Registry, Server, World, request, run, until, world
 from tests.test_node import Program
 from workspond.__main__ import listen
 from workspond.config import read_config
@@ -24,11 +26,16 @@
 from workspond.node import Node
 
 SHORTAGE_S = 0.5
+USUAL_LIMIT = 1024  # descriptors
+
+
+def open_descriptors(pid: int) -> set[int]:
+    return {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
 
 
 def lowest_free_descriptor(pid: int) -> int:
-    """With this as its limit a process has none left, and any that it closes can be had again."""
-    used = {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
+    """With this as its limit a process has none free, and can open again what it closes."""
+    used = open_descriptors(pid)
     return next(number for number in range(len(used) + 1) if number not in used)
 
 
@@ -37,29 +44,42 @@
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (count, hard))
 
 
+@contextlib.contextmanager
+def no_free_descriptor(pid: int) -> Iterator[None]:
+    """A process that can open nothing more."""
+    limit_descriptors(pid, lowest_free_descriptor(pid))
+    try:
+        yield
+    finally:
+        limit_descriptors(pid, USUAL_LIMIT)
+
+
+async def start_program(scene: World, descriptors: int | None = None) -> Program:
+    """Start the program, and wait until it has an endpoint list."""
+    program = await Program.start(scene, descriptors=descriptors)
+    await until(lambda: scene.registry.watches() > 0)
+    return program
+
+
 def test_callers_that_connect_while_no_descriptor_is_free_are_served_afterwards(tmp_path: Path) -> None:
-    """Each was reset: the event loop's library closes what waits to get out of the jam."""
+    """They must not be reset, as the event loop's own way to accept would do."""
 
     async def test() -> None:
         async with world(tmp_path, Server(), start=False) as scene:
-            program = await Program.start(scene)
-            pid = program.process.pid
-            await until(lambda: scene.registry.watches() > 0)
+            program = await start_program(scene)
             assert (await scene.ask("before")).status == 200
             scene.callers.pop().writer.close()
             await asyncio.sleep(0.1)
-            limit_descriptors(pid, lowest_free_descriptor(pid))
-            callers = []
-            for n in range(5):
-                caller = socket.create_connection(scene.address, LIMIT_S)
-                caller.sendall(request(f"{n}"))
-                callers.append(caller)
-            await asyncio.sleep(SHORTAGE_S)
-            limit_descriptors(pid, 1024)
-            for caller in callers:
-                reply = await asyncio.to_thread(caller.recv, 1000)
-                assert reply.startswith(b"HTTP/1.1 200")
-                caller.close()
+            clients = []
+            with no_free_descriptor(program.process.pid):
+                for number in range(5):
+                    client = socket.create_connection(scene.address, LIMIT_S)
+                    client.sendall(request(f"{number}"))
+                    clients.append(client)
+                await asyncio.sleep(SHORTAGE_S)
+            for client in clients:
+                assert is_ok(await receive(client))
+                client.close()
 
     run(test())
 
@@ -68,7 +88,8 @@
     """A listening socket whose next calls of `accept` fail with these errors."""
 
     def __init__(self, real: socket.socket, *errors: int) -> None:
-        self._real, self.errors = real, list(errors)
+        self._real = real
+        self.errors = list(errors)
 
     def accept(self) -> tuple[socket.socket, object]:
         if self.errors:
@@ -97,9 +118,7 @@
 def test_a_failure_to_accept_keeps_nobody_from_being_served(error: int, tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
-            listener = scene.node.frontend._listener
+            listener = (await ready_node(scene)).frontend._listener
             assert listener is not None
             failing = FailingSocket(listener._socket, error, error)
             listener._socket = cast(socket.socket, failing)
@@ -111,20 +130,17 @@
 
 
 def test_a_new_configuration_is_taken_once_its_file_can_be_opened(tmp_path: Path) -> None:
-    """Read in a shortage of descriptors it could not be opened, and the old address stayed for good."""
+    """A file that can't be opened for want of descriptors must be read later: the old address is stale."""
 
     async def test() -> None:
         moved = Registry()
         await moved.start()
         async with world(tmp_path, Server(), start=False) as scene:
-            program = await Program.start(scene)
-            pid = program.process.pid
-            await until(lambda: scene.registry.watches() > 0)
+            program = await start_program(scene)
             scene.path.write_text(json.dumps(scene.config | {"discovery": moved.address}))
-            limit_descriptors(pid, lowest_free_descriptor(pid))
-            program.process.send_signal(signal.SIGHUP)
-            await asyncio.sleep(SHORTAGE_S)
-            limit_descriptors(pid, 1024)
+            with no_free_descriptor(program.process.pid):
+                program.process.send_signal(signal.SIGHUP)
+                await asyncio.sleep(SHORTAGE_S)
             await until(lambda: bool(moved.seen))
         await moved.stop()
 
@@ -132,18 +148,17 @@
 
 
 def test_a_system_limit_below_the_configured_one_holds(tmp_path: Path) -> None:
-    """The configured one alone was counted by, and the table ran full."""
+    """The lower of the two counts: else the table of descriptors becomes full."""
     limit = 128
 
     async def test() -> None:
         async with world(tmp_path, Server(), start=False) as scene:
-            program = await Program.start(scene, descriptors=limit)
-            await until(lambda: scene.registry.watches() > 0)
+            program = await start_program(scene, descriptors=limit)
             idle = [socket.create_connection(scene.address, LIMIT_S) for _ in range(limit)]
             assert (await scene.ask("a")).status == 200
-            assert len(os.listdir(f"/proc/{program.process.pid}/fd")) < limit - 10
-            for caller in idle:
-                caller.close()
+            assert len(open_descriptors(program.process.pid)) < limit - 10
+            for client in idle:
+                client.close()
 
     run(test())
 
@@ -152,11 +167,11 @@
 def test_a_shortage_at_the_start_is_waited_out_and_an_address_in_use_is_not(
     error: int, tries: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Found by the soak: a node that restarted while descriptors ran short ended with status 2."""
+    """A node that restarts while descriptors run short must not end with status 2."""
     monkeypatch.setattr("workspond.__main__.LISTEN_EVERY_S", 0.01)
     calls = []
 
-    def fail(real: Callable[..., Listener], *args: Any) -> Listener:
+    def fail_three_times(real: Callable[..., Listener], *args: Any) -> Listener:
         calls.append(args)
         if len(calls) <= 3:
             raise OSError(error, "forced")
@@ -165,11 +180,12 @@
     async def test() -> None:
         async with world(tmp_path, Server(), start=False) as scene:
             scene.node = Node(read_config(str(scene.path)), asyncio.get_running_loop())
-            monkeypatch.setattr("workspond.downstream.frontend.Listener", functools.partial(fail, Listener))
+            failing = functools.partial(fail_three_times, Listener)
+            monkeypatch.setattr("workspond.downstream.frontend.Listener", failing)
             if tries > 1:
                 scene.address = await listen(scene.node, ("127.0.0.1", 0))
                 scene.node.start()
-                await until(lambda: scene.node is not None and bool(scene.node._in_service))
+                await ready_node(scene)
                 assert (await scene.ask("a")).status == 200
             else:
                 with pytest.raises(OSError, match="forced"):
