--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -5,9 +5,16 @@
 import asyncio
 import socket
 
-from tests.peers import LIMIT_S, World, until
+from tests.peers import LIMIT_S, World, request, until
+from workspond.downstream.connection_states import ConnectionState
 from workspond.node import Node
 
+INCOMPLETE_REQUESTS = {
+    "half a head": b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n",
+    "half a body": request("q", "pay", body=b"whole")[:-2],
+    "no end of chunks": b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n",
+}
+
 
 def running_node(scene: World) -> Node:
     """The node of a scene that runs in this process."""
@@ -47,6 +54,11 @@
     return await asyncio.to_thread(client.recv, 1000)
 
 
+def state_count(node: Node, state: ConnectionState) -> int:
+    """How many connections of clients are in a state."""
+    return len(node.frontend.connections.in_state(state))
+
+
 def is_ok(response: bytes) -> bool:
     """Whether a response as it was received is that to a request that was served."""
     return response.startswith(b"HTTP/1.1 200")
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Callers that are silent, slow, deaf or many: each connection has a limit, and only its own suffers."""
+"""Clients that are silent, slow, many or do not read: each state of a connection has a timeout."""
 
 from __future__ import annotations
 
@@ -8,6 +8,17 @@
 
 import pytest
 
+from tests.client_helpers import (
+    INCOMPLETE_REQUESTS,
+    connect,
+    is_ok,
+    open_connections,
+    open_requests,
+    ready_node,
+    receive,
+    running_node,
+    state_count,
+)
 from tests.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
 from workspond.downstream import connection_states, frontend
 from workspond.downstream.client_connection import ClientConnection
@@ -15,45 +26,39 @@
 
 
 @pytest.fixture
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Limits that a test can wait for."""
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Timeouts that a test can wait for."""
     monkeypatch.setattr(frontend, "SWEEP_INTERVAL_S", 0.02)
     for state in connection_states.STATE_TIMEOUTS_S:
         monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, state, 0.2)
 
 
-def callers(scene: World) -> int:
-    assert scene.node is not None
-    return scene.node.frontend.connection_count()
-
-
-HALVES = {
-    "half a head": b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n",
-    "half a body": request("q", "pay", body=b"whole")[:-2],
-    "no end of chunks": b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n",
-}
+@pytest.fixture
+def long_flush_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A connection whose client does not read stays open for the whole test."""
+    monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, ConnectionState.FLUSHING, 1000.0)
 
 
-@pytest.mark.usefixtures("soon")
-@pytest.mark.parametrize("data", HALVES.values(), ids=HALVES.keys())
-@pytest.mark.parametrize("asked", [False, True], ids=["at first", "later"])
-def test_a_request_that_does_not_come_whole_is_told_so(data: bytes, asked: bool, tmp_path: Path) -> None:
-    """It held its socket for ever."""
+@pytest.mark.usefixtures("short_timeouts")
+@pytest.mark.parametrize("data", INCOMPLETE_REQUESTS.values(), ids=INCOMPLETE_REQUESTS.keys())
+@pytest.mark.parametrize("is_used", [False, True], ids=["at first", "later"])
+def test_a_request_that_does_not_come_whole_is_told_so(data: bytes, is_used: bool, tmp_path: Path) -> None:
+    """Without a timeout it would hold its socket for ever."""
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            caller = await scene.caller()
-            if asked:
-                assert (await caller.ask("before")).status == 200
-            caller.write(data)
-            assert (await caller.read()).status == 408
-            assert await caller.closed()
-            await until(lambda: callers(scene) == 0)
+            client = await scene.caller()
+            if is_used:
+                assert (await client.ask("before")).status == 200
+            client.write(data)
+            assert (await client.read()).status == 408
+            assert await client.closed()
+            await until(lambda: open_connections(scene) == 0)
 
     run(test())
 
 
-@pytest.mark.usefixtures("soon")
+@pytest.mark.usefixtures("short_timeouts")
 def test_silent_and_idle_callers_are_closed_but_not_those_that_wait_for_their_answer(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
@@ -69,133 +74,117 @@
     run(test())
 
 
-async def slow_reader(scene: World, deaf: socket.socket) -> ClientConnection:
-    """Connect a caller whose socket and the node's own for it hold very little."""
-    deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    await asyncio.to_thread(deaf.connect, scene.address)
-    assert scene.node is not None
-    connections = scene.node.frontend.connections
+async def connect_slow_reader(scene: World, client: socket.socket) -> ClientConnection:
+    """Connect a client; its socket and the node's own for it have very small buffers."""
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    await asyncio.to_thread(client.connect, scene.address)
+    connections = running_node(scene).frontend.connections
     await until(lambda: len(connections) == 1)
-    [caller] = connections.in_state(ConnectionState.AWAITING_FIRST_REQUEST)
-    own = caller._transport.get_extra_info("socket")
-    own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    return caller
+    [connection] = connections.in_state(ConnectionState.AWAITING_FIRST_REQUEST)
+    node_socket = connection._transport.get_extra_info("socket")
+    node_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    return connection
 
 
-@pytest.mark.usefixtures("soon")
+@pytest.mark.usefixtures("short_timeouts")
 def test_a_caller_that_does_not_read_is_ended_and_read_from_no_more(tmp_path: Path) -> None:
-    """What it was sent stayed in memory, and closing it waited for it to read."""
+    """Else its responses stay in memory, and closing its connection waits for it to read."""
 
     async def test() -> None:
         async with world(tmp_path, Server(usual=answer(200, b"x" * 65536))) as scene:
-            with socket.socket() as deaf:
-                await slow_reader(scene, deaf)
-                deaf.sendall(b"".join(request(f"{n}") for n in range(8)))
-                await until(lambda: callers(scene) == 0)
+            with socket.socket() as client:
+                await connect_slow_reader(scene, client)
+                client.sendall(b"".join(request(f"{n}") for n in range(8)))
+                await until(lambda: open_connections(scene) == 0)
 
     run(test())
 
 
-def test_a_caller_that_leaves_with_an_answer_unread_leaves_the_request_after_it_too(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Its connection closes only once all is written; till then its request was sent again and again."""
-    monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, ConnectionState.FLUSHING, 1000.0)
+@pytest.mark.usefixtures("long_flush_timeout")
+def test_a_caller_that_leaves_with_an_answer_unread_leaves_the_request_after_it_too(tmp_path: Path) -> None:
+    """Its connection closes only once all is written; its request must not be retried till then."""
 
     async def test() -> None:
         server = Server(answer(200, b"x" * 40_000), usual=HANG)
         async with world(tmp_path, server) as scene:
-            with socket.socket() as leaver:
-                await slow_reader(scene, leaver)
-                leaver.sendall(request("a") + request("b"))
+            node = running_node(scene)
+            with socket.socket() as client:
+                await connect_slow_reader(scene, client)
+                client.sendall(request("a") + request("b"))
                 await until(lambda: len(server.seen) == 2)
-                assert scene.node is not None and len(scene.node._live) == 1
-                leaver.shutdown(socket.SHUT_WR)
+                assert open_requests(node) == 1
+                client.shutdown(socket.SHUT_WR)
                 async with asyncio.timeout(5.0):  # its budget is 20 s
-                    await until(lambda: scene.node is not None and not scene.node._live)
-                assert callers(scene) == 1  # what was written has not been read yet
+                    await until(lambda: open_requests(node) == 0)
+                assert open_connections(scene) == 1  # what was written has not been read yet
 
     run(test())
 
 
-def test_what_waits_behind_a_caller_that_does_not_read_is_not_sent_once_that_has_left(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Nothing is read from it meanwhile, so its end was not seen, and its next request went out."""
-    monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, ConnectionState.FLUSHING, 1000.0)
+@pytest.mark.usefixtures("long_flush_timeout")
+def test_what_waits_behind_a_caller_that_does_not_read_is_not_sent_once_that_has_left(tmp_path: Path) -> None:
+    """Nothing is read from it meanwhile, nor is its end: its next request must not be sent all the same."""
 
     async def test() -> None:
         server = Server(usual=answer(200, b"x" * 65536))
         async with world(tmp_path, server) as scene:
-            with socket.socket() as leaver:
-                caller = await slow_reader(scene, leaver)
-                leaver.settimeout(LIMIT_S)
-                leaver.sendall(b"".join(request(f"{n}") for n in range(8)))
-                await until(lambda: caller._is_writing_paused)
-                leaver.sendall(b"".join(request(f"unread-{n}") for n in range(2)))
-                leaver.shutdown(socket.SHUT_WR)
+            with socket.socket() as client:
+                connection = await connect_slow_reader(scene, client)
+                client.settimeout(LIMIT_S)
+                client.sendall(b"".join(request(f"{n}") for n in range(8)))
+                await until(lambda: connection._is_writing_paused)
+                client.sendall(b"".join(request(f"unread-{n}") for n in range(2)))
+                client.shutdown(socket.SHUT_WR)
                 sent = len(server.seen)
-                while await asyncio.to_thread(leaver.recv, 65536):
+                while await asyncio.to_thread(client.recv, 65536):
                     pass
-                await until(lambda: callers(scene) == 0)
+                await until(lambda: open_connections(scene) == 0)
                 assert 1 <= sent < 8 and len(server.seen) == sent
 
     run(test())
 
 
-@pytest.mark.parametrize("kept", [True, False], ids=["kept", "new"])
+@pytest.mark.parametrize("is_used", [True, False], ids=["kept", "new"])
 def test_a_request_that_crosses_the_limit_of_a_silent_connection_is_answered(
-    kept: bool, tmp_path: Path
+    is_used: bool, tmp_path: Path
 ) -> None:
-    """The connection was closed over it, and so reset."""
+    """Closed over an unread request, the connection would be reset."""
+    state = ConnectionState.IDLE if is_used else ConnectionState.AWAITING_FIRST_REQUEST
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
-            with socket.socket() as caller:
-                caller.settimeout(LIMIT_S)
-                await asyncio.to_thread(caller.connect, scene.address)
-                if kept:
-                    caller.sendall(request("a"))
-                    assert (await asyncio.to_thread(caller.recv, 1000)).startswith(b"HTTP/1.1 200")
-                connections = scene.node.frontend.connections
-                await until(
-                    lambda: (
-                        len(
-                            connections.in_state(
-                                ConnectionState.IDLE if kept else ConnectionState.AWAITING_FIRST_REQUEST
-                            )
-                        )
-                        == 1
-                    )
-                )
-                [held] = connections.all()
-                caller.sendall(request("b"))  # the loop has no turn till the await
-                held.handle_timeout()
-                assert (await asyncio.to_thread(caller.recv, 1000)).startswith(b"HTTP/1.1 200")
+            node = running_node(scene)
+            with await connect(scene) as client:
+                if is_used:
+                    client.sendall(request("a"))
+                    assert is_ok(await receive(client))
+                await until(lambda: state_count(node, state) == 1)
+                [connection] = node.frontend.connections.all()
+                client.sendall(request("b"))  # the event loop has no turn till the next await
+                connection.handle_timeout()
+                assert is_ok(await receive(client))
 
     run(test())
 
 
 def test_those_whose_request_waits_to_be_read_do_not_go_for_new_callers(tmp_path: Path) -> None:
-    """Nor where all of them connect within one turn. (Passed when it was written.)"""
+    """Nor are they evicted where all of them connect within one turn of the event loop."""
+    max_connections = 35  # that follow from the sockets
 
     async def test() -> None:
-        async with world(tmp_path, Server(), sockets=64, tier=1) as scene:  # 35 callers at most
-            assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
-            askers, silent = [], []
-            for n in range(3):
-                askers.append(socket.create_connection(scene.address, LIMIT_S))
-                askers[-1].sendall(request(f"{n}"))
-            for _ in range(35):
-                silent.append(socket.create_connection(scene.address, LIMIT_S))
-            for asker in askers:  # the loop has had no turn so far
-                assert (await asyncio.to_thread(asker.recv, 1000)).startswith(b"HTTP/1.1 200")
-            assert callers(scene) <= 35
-            for caller in askers + silent:
-                caller.close()
+        async with world(tmp_path, Server(), sockets=64, tier=1) as scene:
+            await ready_node(scene)
+            requesting = []
+            for number in range(3):
+                client = socket.create_connection(scene.address, LIMIT_S)
+                client.sendall(request(f"{number}"))
+                requesting.append(client)
+            silent = [socket.create_connection(scene.address, LIMIT_S) for _ in range(max_connections)]
+            for client in requesting:  # the event loop has had no turn so far
+                assert is_ok(await receive(client))
+            assert open_connections(scene) <= max_connections
+            for client in requesting + silent:
+                client.close()
 
     run(test())
 
@@ -203,60 +192,61 @@
 def test_a_huge_body_is_refused_before_it_comes_and_the_refusal_can_be_read(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            caller = await scene.caller()
-            caller.write(
+            client = await scene.caller()
+            client.write(
                 b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 100_000
             )
-            assert (await caller.read()).status == 413
-            assert await caller.closed()
+            assert (await client.read()).status == 413
+            assert await client.closed()
 
     run(test())
 
 
 def test_an_id_that_comes_again_while_its_old_attempt_is_out_gets_its_own_answer(tmp_path: Path) -> None:
-    """Both were kept under the caller's id: the answer to one could end the other."""
+    """The client's id does not tell the two apart: the response to one must not end the other."""
 
     async def test() -> None:
         server = Server(answer(200, b"old"), answer(200, b"new"))
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            gone = await scene.caller()
-            gone.write(request("a"))
+            node = running_node(scene)
+            disconnected = await scene.caller()
+            disconnected.write(request("a"))
             await until(lambda: len(server.seen) == 1)
-            gone.writer.close()
-            assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._live)
-            again = await scene.caller()
-            again.write(request("a"))
+            disconnected.writer.close()
+            await until(lambda: open_requests(node) == 0)
+            repeating = await scene.caller()
+            repeating.write(request("a"))
             await until(lambda: len(server.seen) == 2)
             server.gate.set()
-            assert (await again.read()).body == b"new"
-            await until(lambda: scene.node is not None and not scene.node._attempts)
-            balancer = scene.node._balancer
+            assert (await repeating.read()).body == b"new"
+            await until(lambda: not node._attempts)
+            balancer = node._balancer
             assert balancer.in_flight == 0
-            assert all(not s.in_flight for s in balancer.fleet.servers.values())
+            assert all(not known.in_flight for known in balancer.fleet.servers.values())
 
     run(test())
 
 
 def test_after_churn_nothing_is_left_in_the_books(tmp_path: Path) -> None:
-    """Ever new ids, callers and servers, some of these at the address of one that has gone."""
+    """New ids, clients and servers all the time, each server at the address of the one that was removed."""
 
     async def test() -> None:
         server = Server(name="s0")
         async with world(tmp_path, server) as scene:
-            assert scene.node is not None
+            node = running_node(scene)
             for n in range(1, 16):
                 assert (await scene.ask(f"{n}")).status == 200
                 scene.registry.tell(server.entry(name=f"s{n - 1}", status="left"), server.entry(name=f"s{n}"))
                 await until(lambda n=n: scene.registry.watches() == n + 1)  # type: ignore[misc]
                 scene.callers.pop().writer.close()
-            await until(lambda: callers(scene) == 0)
-            own, module = scene.node, scene.node._balancer
-            assert not own._live and not own._open_ids and not own._attempts and not own._events
-            assert len(own._addresses) == len(own._in_service) == len(module.fleet.servers) == 1
+            await until(lambda: open_connections(scene) == 0)
+            module = node._balancer
+            assert open_requests(node) == 0 and not node._attempts and not node._events
+            assert len(node._addresses) == len(node._in_service) == len(module.fleet.servers) == 1
             assert not module._calls and not module._waiting and not any(module._queue._queues.values())
             assert len(module.retry_policy._taken._times) + len(module.retry_policy._further._times) <= 2
-            assert own._upstream.connection_count() <= 1 and sum(map(len, own._upstream._idle.values())) <= 1
+            assert node._upstream.connection_count() <= 1
+            assert sum(map(len, node._upstream._idle.values())) <= 1
 
     run(test())
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -65,7 +65,7 @@
         async with world(tmp_path, server) as scene:
             with await connect(scene) as client:
                 assert (await scene.ask("before")).status == 200  # leaves an idle connection to the server
-                client.sendall(request("left"))
+                client.sendall(request("abandoned"))
                 leave_while_loop_is_busy(client, leave)
                 assert (await scene.ask("next")).status == 200
                 await all_requests_finished(scene)
@@ -83,7 +83,7 @@
         async with world(tmp_path, server) as scene:
             module = running_node(scene)._balancer
             with await connect(scene) as client:
-                client.sendall(request("left"))
+                client.sendall(request("abandoned"))
                 await until(lambda: bool(server.seen) and bool(module._waiting) and not module.in_flight)
                 sent = len(server.seen)
                 leave_while_loop_is_busy(client, leave)
@@ -108,7 +108,7 @@
                     known.in_flight_limit = 1.0
                 first.write(request("first"))
                 await until(lambda: len(server.seen) == 1)
-                client.sendall(request("left"))
+                client.sendall(request("abandoned"))
                 await until(lambda: len(module._calls) == 2)
                 answer_now(server)
                 leave_while_loop_is_busy(client, leave)
@@ -128,7 +128,7 @@
         server = Server(HANG)
         async with world(tmp_path, server) as scene:
             with await connect(scene) as client:
-                client.sendall(request("first") + request("left"))
+                client.sendall(request("first") + request("abandoned"))
                 await until(lambda: len(server.seen) == 1)
                 answer_now(server)
                 leave_while_loop_is_busy(client, leave)
@@ -161,7 +161,7 @@
                 scene.registry.whole = [entry]
                 node = running_node(scene)
                 with await connect(scene) as client:
-                    client.sendall(request("left"))
+                    client.sendall(request("abandoned"))
                     await until(lambda: len(node._upstream._dials) == 1)
                     leave_while_loop_is_busy(client, leave)
                     # The second connection comes up once its handshake is sent again, after 1 s.
