--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -84,7 +84,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start to track the connection."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is none by class
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
         self._socket = self._transport.get_extra_info("socket")
         self._owner.connection_opened(self)
 
--- a/workspond/downstream/request_pipeline.py
+++ b/workspond/downstream/request_pipeline.py
@@ -22,7 +22,10 @@
 class RequestPipeline:
     """Parses the bytes of a connection and queues its messages until their turn.
 
-    Attributes (read-only for others; plain, as they are read several times for each request):
+    The attributes are plain, as they are read several times for each request. The connection reads them, and
+    takes messages from the queue; only the pipeline sets them.
+
+    Attributes:
         messages: The queue of parsed messages.
         unparsed: Data that was read, and that the queue had no capacity for.
         has_partial_message: A message has begun and is not complete.
