--- /dev/null
+++ b/tests/client_helpers.py
@@ -0,0 +1,64 @@
+"""What tests of clients' connections share: plain sockets as clients, and what the node holds for them."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from tests.peers import LIMIT_S, World, request, until
+from workspond.downstream.connection_states import ConnectionState
+from workspond.node import Node
+
+INCOMPLETE_REQUESTS = {
+    "half a head": b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n",
+    "half a body": request("q", "pay", body=b"whole")[:-2],
+    "no end of chunks": b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n",
+}
+
+
+def running_node(scene: World) -> Node:
+    """The node of a scene that runs in this process."""
+    assert scene.node is not None
+    return scene.node
+
+
+async def ready_node(scene: World) -> Node:
+    """The node of a scene, once it has servers to send to."""
+    node = running_node(scene)
+    await until(node.is_ready)
+    return node
+
+
+def open_connections(scene: World) -> int:
+    """How many connections of clients the node holds."""
+    return running_node(scene).frontend.connection_count()
+
+
+def open_requests(node: Node) -> int:
+    """How many requests the node owes a response."""
+    assert len(node._open_ids) == len(node._live)
+    return len(node._live)
+
+
+async def connect(scene: World) -> socket.socket:
+    """A client's socket that the node has accepted; it does nothing by itself."""
+    await ready_node(scene)
+    before = open_connections(scene)
+    client = socket.create_connection(scene.address, LIMIT_S)
+    await until(lambda: open_connections(scene) == before + 1)
+    return client
+
+
+async def receive(client: socket.socket) -> bytes:
+    """What a client's socket receives next, while the event loop runs."""
+    return await asyncio.to_thread(client.recv, 1000)
+
+
+def state_count(node: Node, state: ConnectionState) -> int:
+    """How many connections of clients are in a state."""
+    return len(node.frontend.connections.in_state(state))
+
+
+def is_ok(response: bytes) -> bool:
+    """Whether a response as it was received is that to a request that was served."""
+    return response.startswith(b"HTTP/1.1 200")
