--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,12 +1,14 @@
-"""Scripted peers for tests over sockets: servers, discovery and callers, on 127.0.0.1."""
+"""A node among stand-ins for tests over sockets, on 127.0.0.1.
+
+The stand-ins are those of `standins`. The names `Caller`, `Peer`, `Registry`, `Seen`, `Server`, `answer`,
+`request` and the properties of these classes are older names for them, kept for the tests that use them.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import json
-import socket
-import struct
 from collections.abc import AsyncIterator, Callable, Coroutine
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -14,11 +16,50 @@
 
 import uvloop
 
+from standins.client import ClientConnection
+from standins.endpoint_list import endpoint_list
+from standins.messages import Message, read_message, render_request, render_response
+from standins.node_config import node_config
+from standins.scripted import (
+    CLOSE,
+    HANG,
+    RESET,
+    ScriptedDiscoveryAgent,
+    ScriptedListener,
+    ScriptedServer,
+)
+from standins.sockets import free_port
 from tests.test_wire import ENV
 from workspond.config import read_config
 from workspond.node import Node
 
+__all__ = [
+    "CLOSE",
+    "HANG",
+    "LIMIT_S",
+    "RESET",
+    "Caller",
+    "Peer",
+    "Registry",
+    "Seen",
+    "Server",
+    "World",
+    "answer",
+    "free_port",
+    "read_message",
+    "request",
+    "run",
+    "settings",
+    "until",
+    "world",
+]
+
 LIMIT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
+POLL_INTERVAL_S = 0.005
+SEED = "8c1f30d27a5be964"
+
+Seen = Message
+answer = render_response
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -31,203 +72,117 @@
 
 
 async def until(done: Callable[[], bool]) -> None:
-    """Wait until something holds."""
+    """Wait until something holds; raises `TimeoutError` if it does not in `LIMIT_S`."""
     async with asyncio.timeout(LIMIT_S):
-        while not done():
-            await asyncio.sleep(0.005)
+        while True:
+            if done():
+                return
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-@dataclass
-class Seen:
-    """A message that a peer has got."""
-
-    first: str
-    headers: dict[str, str]
-    body: bytes
-    connection: int
+class Peer(ScriptedListener):
+    """A listener that answers by a script."""
 
     @property
-    def status(self) -> int:
-        return int(self.first.split()[1])
+    def seen(self) -> list[Message]:
+        """The messages received."""
+        return self.received
 
     @property
-    def target(self) -> str:
-        return self.first.split()[1]
+    def lost(self) -> int:
+        """How many connections have ended."""
+        return self.closed_connections
 
-    @property
-    def id(self) -> str:
-        return self.headers["x-call-id"]
+    def hang_up(self) -> None:
+        """Close every connection."""
+        self.close_connections()
 
 
-async def read_message(reader: asyncio.StreamReader, connection: int = 0) -> Seen | None:
-    """The next message with a Content-Length, or None at the end."""
-    try:
-        head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-        first, *lines = head[:-4].split("\r\n")
-        headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-        body = await reader.readexactly(int(headers.get("content-length", "0")))
-    except (asyncio.IncompleteReadError, ConnectionError):
-        return None
-    return Seen(first, headers, body, connection)
-
-
-def answer(status: int = 200, body: bytes = b"done", headers: str = "") -> bytes:
-    return f"HTTP/1.1 {status} X\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
-
-
-HANG, RESET, CLOSE = b"hang", b"reset", b"close"  # what a script may name in place of bytes to write
-
-
-class Peer:
-    """Listens, and lets `script` say what to write for each message."""
-
-    def __init__(self) -> None:
-        self.seen: list[Seen] = []
-        self.connections = 0
-        self.lost = 0
-        self._writers: set[asyncio.StreamWriter] = set()
-
-    async def script(self, message: Seen) -> bytes:
-        raise NotImplementedError
-
-    async def start(self) -> None:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        host, port = self._server.sockets[0].getsockname()[:2]
-        self.address = f"{host}:{port}"
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        number = self.connections
-        self._writers.add(writer)
-        try:
-            while (message := await read_message(reader, number)) is not None:
-                self.seen.append(message)
-                data = await self.script(message)
-                if data == HANG:
-                    continue
-                writer.write(data.removesuffix(CLOSE).removesuffix(RESET))
-                if data.endswith(RESET):
-                    await writer.drain()
-                    linger = struct.pack("ii", 1, 0)
-                    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-                if data.endswith((RESET, CLOSE)):
-                    break
-        except asyncio.CancelledError:
-            pass  # the test is over
-        finally:
-            self.lost += 1
-            self._writers.discard(writer)
-            writer.close()
+class Server(ScriptedServer, Peer):
+    """A server; its script is used up one by one, then comes `usual`."""
 
-    def hang_up(self) -> None:
-        for writer in list(self._writers):
-            writer.close()
+    def __init__(self, *script: bytes, usual: bytes = answer(), name: str = "s", group: int = 0) -> None:
+        super().__init__(*script, default=usual, name=name, group=group)
 
-    async def stop(self) -> None:
-        self._server.close()
-        self.hang_up()
+    @property
+    def left(self) -> list[bytes]:
+        """The answers of the script that are still to come."""
+        return self.remaining_script
 
+    @left.setter
+    def left(self, script: list[bytes]) -> None:
+        self.remaining_script = script
 
-class Server(Peer):
-    """A server; its script is a list used up one by one, then `usual`."""
+    @property
+    def usual(self) -> bytes:
+        """The answer once the script is used up."""
+        return self.default
 
-    def __init__(self, *script: bytes, usual: bytes = answer(), name: str = "s", group: int = 0) -> None:
-        super().__init__()
-        self.left, self.usual, self.name, self.group = list(script), usual, name, group
-        self.pause_s = 0.0  # before each answer
-        self.gate = asyncio.Event()
-        self.gate.set()
-
-    async def script(self, message: Seen) -> bytes:
-        data = self.left.pop(0) if self.left else self.usual
-        await self.gate.wait()
-        await asyncio.sleep(self.pause_s)
-        return data
-
-    def entry(self, **changes: Any) -> dict[str, Any]:
-        return {
-            "name": self.name,
-            "address": self.address,
-            "zone": "z1",
-            "type": "k1",
-            "group": self.group,
-            "status": "active",
-            "weight": 1.0,
-            "since_ms": 0,
-        } | changes
-
-
-class Registry(Peer):
-    """Discovery: holds watches until `tell`; `spoil` replaces the next answers."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.index = 1
-        self.whole: list[dict[str, Any]] = []
-        self.news: asyncio.Queue[bytes] = asyncio.Queue()
-        self.spoil: list[bytes] = []
-        self.gate = asyncio.Event()  # for whole lists
-        self.gate.set()
-
-    def watches(self) -> int:
-        """How many calls have come that wait for news."""
-        return sum("index=" in seen.target for seen in self.seen)
+    @usual.setter
+    def usual(self, data: bytes) -> None:
+        self.default = data
 
-    def tell(self, *entries: dict[str, Any], index: int | None = None, snapshot: bool = False) -> None:
-        self.index = self.index + 1 if index is None else index
-        self.news.put_nowait(self.listing(list(entries), snapshot))
 
-    def listing(self, entries: list[dict[str, Any]], snapshot: bool) -> bytes:
-        body = {"index": self.index, "snapshot": snapshot, "endpoints": entries}
-        return answer(200, json.dumps(body).encode())
+class Registry(ScriptedDiscoveryAgent, Peer):
+    """A discovery agent: holds watches until `tell`; `spoil` replaces the next answers."""
 
-    async def script(self, message: Seen) -> bytes:
-        if self.spoil:
-            return self.spoil.pop(0)
-        if "index=" not in message.target:
-            await self.gate.wait()
-            return self.listing(self.whole, True)
-        return await self.news.get()
+    @property
+    def whole(self) -> list[dict[str, Any]]:
+        """The complete list."""
+        return self.endpoints
 
+    @whole.setter
+    def whole(self, entries: list[dict[str, Any]]) -> None:
+        self.endpoints = entries
 
-class Caller:
-    """A caller's connection."""
+    @property
+    def news(self) -> asyncio.Queue[bytes]:
+        """The responses for watches."""
+        return self.updates
 
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+    @property
+    def spoil(self) -> list[bytes]:
+        """What replaces the next responses."""
+        return self.faulty_responses
+
+    @spoil.setter
+    def spoil(self, responses: list[bytes]) -> None:
+        self.faulty_responses = responses
+
+    def tell(self, *entries: dict[str, Any], index: int | None = None, snapshot: bool = False) -> None:
+        """Publish an update."""
+        self.publish(*entries, index=index, snapshot=snapshot)
 
-    def write(self, data: bytes) -> None:
-        self.writer.write(data)
+    def listing(self, entries: list[dict[str, Any]], snapshot: bool) -> bytes:
+        """A response with these entries."""
+        return self.render_list(entries, complete=snapshot)
 
-    async def read(self) -> Seen:
-        message = await asyncio.wait_for(read_message(self.reader), LIMIT_S)
-        assert message is not None, "closed without an answer"
-        return message
 
-    async def closed(self) -> bool:
-        """Whether the node ends the connection with nothing more sent."""
-        with contextlib.suppress(ConnectionError):
-            return await asyncio.wait_for(self.reader.read(1), LIMIT_S) == b""
-        return True
+class Caller(ClientConnection):
+    """A client's connection that renders its requests."""
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Seen:
-        self.write(request(*args, **kwargs))
-        return await self.read()
+    async def ask(self, *args: Any, **kwargs: Any) -> Message:
+        """Send what `request` renders of the arguments and read the response."""
+        return await self.send(request(*args, **kwargs))
 
-    async def ask_path(self, path: str) -> Seen:
-        self.write(f"GET {path} HTTP/1.1\r\n\r\n".encode())
-        return await self.read()
+    async def ask_path(self, path: str) -> Message:
+        """Send a GET without headers and read the response."""
+        return await self.get(path)
 
 
 def request(
-    id: str, cls: str = "read", budget: str = "20", body: bytes = b"", extra: str = "", query: str = ""
+    request_id: str,
+    cls: str = "read",
+    budget: str = "20",
+    *,
+    body: bytes = b"",
+    extra: str = "",
+    query: str = "",
 ) -> bytes:
-    """A request as callers send it: the method follows from the class."""
-    key = f"Idempotency-Key: key-{id}\r\n" if cls == "save" else ""
-    return (
-        f"{'GET' if cls == 'read' else 'POST'} /{cls}{query} HTTP/1.1\r\nHost: api.internal\r\n"
-        f"X-Call-Id: {id}\r\nX-Budget: {budget}\r\n{key}{extra}Content-Length: {len(body)}\r\n\r\n"
-    ).encode() + body
+    """A request as clients send it: the method follows from the class."""
+    return render_request(
+        request_id, cls, budget, body, host="api.internal", extra_headers=extra, query=query
+    )
 
 
 @dataclass
@@ -251,19 +206,27 @@
         node.start()
 
     async def caller(self) -> Caller:
-        caller = Caller(*await asyncio.open_connection(*self.address))
+        """A new client's connection."""
+        caller = Caller(*await asyncio.open_connection(*self.address), timeout_s=LIMIT_S)
         self.callers.append(caller)
         return caller
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Seen:
+    async def ask(self, *args: Any, **kwargs: Any) -> Message:
+        """Send a request on a new connection and read the response."""
         return await (await self.caller()).ask(*args, **kwargs)
 
-
-def free_port() -> int:
-    """A port of 127.0.0.1 that is free for now."""
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        port: int = listener.getsockname()[1]
-    return port
+    async def end(self) -> None:
+        """End clients, processes, peers and the node, whatever the test has left of them."""
+        for caller in self.callers:
+            caller.writer.close()
+        for process in self.processes:  # one left behind by a test that fails would call on others' ports
+            if process.returncode is None:
+                process.kill()
+                await process.wait()
+        for peer in (self.registry, *self.servers):
+            await peer.stop()
+        if self.node is not None:
+            await self.node.stop(0.0)
 
 
 def settings(**changes: Any) -> dict[str, Any]:
@@ -288,16 +251,16 @@
     registry = Registry()
     for peer in (registry, *servers):
         await peer.start()
-    registry.whole = [server.entry() for server in servers]
-    config = {
-        "name": "n0",
-        "listen": "127.0.0.1:0",
-        "discovery": registry.address,
-        "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-        "known": {"index": 1, "snapshot": True, "endpoints": registry.whole if known else []},
-        "settings": settings(**changes),
-    }
+    registry.endpoints = [server.entry() for server in servers]
+    config = node_config(
+        "n0",
+        listen="127.0.0.1:0",
+        discovery=registry.address,
+        seed=SEED,
+        limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+        settings=settings(**changes),
+        known=endpoint_list(1, registry.endpoints if known else [], complete=True),
+    )
     file = path / "config.json"
     file.write_text(json.dumps(config))
     scene = World(config, file, registry, list(servers))
@@ -306,13 +269,4 @@
     try:
         yield scene
     finally:
-        for caller in scene.callers:
-            caller.writer.close()
-        for process in scene.processes:  # one left behind by a test that fails would call on others' ports
-            if process.returncode is None:
-                process.kill()
-                await process.wait()
-        for peer in (registry, *servers):
-            await peer.stop()
-        if scene.node is not None:
-            await scene.node.stop(0.0)
+        await scene.end()
