--- /dev/null
+++ b/bench/client.py
@@ -0,0 +1,50 @@
+"""A client that sends requests at a steady rate and measures how long their responses take."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+from standins.messages import read_response, render_head
+from standins.sockets import HOST
+
+
+class SteadyClient:
+    """Sends requests at a steady rate, whatever becomes of earlier ones."""
+
+    def __init__(self, port: int, budget_s: float) -> None:
+        """`budget_s` is the time that each request states for its response."""
+        self._port = port
+        self._budget_s = budget_s
+        self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self.elapsed_s: list[float] = []  # of each request
+        self.late_s: list[float] = []  # by which each request was sent after its time
+        self.failed = 0
+
+    async def send(self, number: int) -> None:
+        """Send one request and read its response; one without a 200 counts as failed."""
+        began_s = time.perf_counter()
+        try:
+            connection = self._idle.pop() if self._idle else await asyncio.open_connection(HOST, self._port)
+            reader, writer = connection
+            headers = {"Host": "b", "X-Call-Id": f"c{number}", "X-Budget": f"{self._budget_s}"}
+            writer.write(render_head("GET", "/read", headers))
+            succeeded = (await read_response(reader)).status == 200
+        except (OSError, asyncio.IncompleteReadError):
+            succeeded = False
+        else:
+            self._idle.append(connection)
+        self.failed += not succeeded
+        self.elapsed_s.append(time.perf_counter() - began_s)
+
+    async def run(self, rate_per_s: float, seconds: float) -> None:
+        """Send requests for so long, and wait for their responses."""
+        loop = asyncio.get_running_loop()
+        began_s = loop.time()
+        requests = []
+        for number in range(int(rate_per_s * seconds)):
+            due_s = began_s + number / rate_per_s
+            await asyncio.sleep(max(0.0, due_s - loop.time()))
+            self.late_s.append(loop.time() - due_s)
+            requests.append(loop.create_task(self.send(number)))
+        await asyncio.gather(*requests)
--- a/standins/messages.py
+++ b/standins/messages.py
@@ -107,9 +107,11 @@
     return Response(int(head.split(None, 2)[1]), body)
 
 
-def render_response(status: int = 200, body: bytes = b"done", headers: str = "") -> bytes:
+def render_response(
+    status: int = 200, body: bytes = b"done", headers: str = "", *, reason: str = "X"
+) -> bytes:
     """Render a response with a Content-Length; `headers` are whole lines with their line ends."""
-    return f"HTTP/1.1 {status} X\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
+    return f"HTTP/1.1 {status} {reason}\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 def render_head(method: str, target: str, headers: Mapping[str, str], extra_lines: str = "") -> bytes:
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench: bad arguments are told, and its figures come from calls that were served."""
+"""The bench: bad arguments are reported, and its figures come from calls that succeeded."""
 
 from __future__ import annotations
 
@@ -9,13 +9,20 @@
 
 import pytest
 
-from bench.calls import Fleet, FleetFailed, measure
-from bench.decisions import ROOT, Case, Program, Run, State
+from bench.calls import Fleet, FleetError, measure
+from bench.decisions import Case, Run
+from bench.server_state import ServerState
+from standins.checkout import ROOT, CheckoutError, node_module
 
 
 def bench(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "bench", *arguments], cwd=ROOT, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "bench", *arguments],
+        check=False,  # the exit status is what tests look at
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
     )
 
 
@@ -48,10 +55,10 @@
     assert all(line["request_us"] > 0.0 and line["whole_list_us"] > 0.0 for line in lines)
 
 
-@pytest.mark.parametrize("state", State)
-def test_a_run_of_each_state_has_answers(state: State) -> None:
-    cost = Run(Program(), Case(40, 2, state, 60)).cost()
-    assert min(cost.request, cost.outcome, cost.change, cost.whole_list) > 0.0
+@pytest.mark.parametrize("state", ServerState)
+def test_a_run_of_each_state_has_answers(state: ServerState) -> None:
+    cost = Run(Case(40, 2, state, 60)).cost()
+    assert min(cost.request_us, cost.outcome_us, cost.update_us, cost.complete_list_us) > 0.0
 
 
 def test_calls_measures_a_node() -> None:
@@ -61,5 +68,31 @@
 
 
 def test_a_node_that_does_not_start_gives_no_figure(tmp_path: Path) -> None:
-    with pytest.raises(FleetFailed, match="ended with status"):
+    with pytest.raises(FleetError, match="ended with status"):
         measure(Fleet(20, 40.0, 1.0, tmp_path))
+
+
+def write_deploy_file(root: Path, text: str) -> None:
+    (root / "deploy").mkdir()
+    (root / "deploy" / "balancer.toml").write_text(text)
+
+
+def test_the_module_of_a_node_comes_from_the_deploy_file(tmp_path: Path) -> None:
+    assert node_module(tmp_path) == "workspond"
+    write_deploy_file(tmp_path, 'run = "exec .venv/bin/python -B -m other.module --flag"\n')
+    assert node_module(tmp_path) == "other.module"
+
+
+@pytest.mark.parametrize("text", ["", 'run = "exec python"\n', "run = ", "\x00"])
+def test_a_deploy_file_that_names_no_module_is_refused(text: str, tmp_path: Path) -> None:
+    write_deploy_file(tmp_path, text)
+    with pytest.raises(CheckoutError):
+        node_module(tmp_path)
+
+
+def test_decisions_refuses_a_checkout_of_an_older_layout_in_one_line(tmp_path: Path) -> None:
+    write_deploy_file(tmp_path, 'run = "exec .venv/bin/python -B -m older"\n')
+    (tmp_path / "older").mkdir()
+    done = bench("decisions", "--root", str(tmp_path))
+    assert done.returncode == 2 and not done.stdout
+    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("bench: ")
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from bench.decisions import Case, Program, Run, State
+from bench.decisions import Case, Run, State
 from tests.coldfleet import Day, Fleet
 from tests.helpers import Node, entries
 from tests.plain_selection import CheckedSelector, parts
@@ -144,7 +144,7 @@
         return speed(self, now, usual_share)
 
     with monkeypatch.context() as patch:
-        run = Run(Program(), case)
+        run = Run(case)
         patch.setattr(Server, "speed_factor", counted)
         run.cost()
     return count
