--- a/soak/fleet.py
+++ b/soak/node_process.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from soak.callers import NodeView
+from soak.clients import NodeView
 from soak.discovery import Agent
 from soak.oracle import Oracle, Rule
 from soak.settings import DEADLINE_MS, DESCRIPTORS, node_settings
--- a/soak/run.py
+++ b/soak/run.py
@@ -16,9 +16,9 @@
 
 import uvloop
 
-from soak.callers import BadCaller, HonestCaller, NodeView
+from soak.clients import BadCaller, HonestCaller, NodeView
 from soak.discovery import Agent, AgentMode, Registry, Status
-from soak.fleet import NodeProcess
+from soak.node_process import NodeProcess
 from soak.oracle import Oracle, Rule, Violation
 from soak.proxy import ProxyMode
 from soak.schedule import LONGEST_S, SERVER_KINDS, Fault, FaultKind, Schedule
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from soak.callers import NodeView
-from soak.fleet import NodeProcess
+from soak.clients import NodeView
+from soak.node_process import NodeProcess
 from soak.oracle import Oracle
 from soak.schedule import BadSchedule, Fault, FaultKind, Schedule, draw, read_schedule
 from soak.shrink import shrink
@@ -137,7 +137,7 @@
             return self.returncode
 
     async def test() -> None:
-        monkeypatch.setattr("soak.fleet.KILL_AFTER_TERM_S", 0.05)
+        monkeypatch.setattr("soak.node_process.KILL_AFTER_TERM_S", 0.05)
         oracle = Oracle(asyncio.get_running_loop().time, tuple, 50.0)
         node = NodeProcess(oracle, NodeView(0, ("127.0.0.1", 1)), [], 1, tmp_path, tmp_path, None)
         node._process = Ending()  # type: ignore[assignment]
