--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins for callers: honest ones that wait for their answers, and such as misbehave."""
+"""Stand-ins for clients that wait for their answers, and what these share with faulty ones."""
 
 from __future__ import annotations
 
@@ -8,215 +8,175 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from soak.oracle import ANSWER_GRACE_S, PEER_S, TIME_SLACK_S, Oracle, Rule
-from soak.settings import DEADLINE_MS, KINDS, RequestKind
+from soak.oracle import ANSWER_GRACE_S, TIME_SLACK_S, Oracle
+from soak.settings import CLASSES, DEADLINE_S, READ, RequestClass
+from standins.messages import Response, read_response, render_request
 
-LATE_S = 1.0  # after the last moment for an answer: one that is later still is told as late, not as missing
-BUDGETS_S = (0.2, DEADLINE_MS / 1000.0)
-TINY_BUDGETS_S, TINY_SHARE = (0.001, 0.04), 0.03
-PATIENCE_S = (0.001, 0.1)  # of callers that leave early
-CONNECT_EVERY_S = 0.05
-LARGE_BODY, LARGE_SHARE = 20_000, 0.05
-FLOOD, CROWD = 20, 100
+# After the last moment for an answer: one that is later still is reported as late, not as missing.
+LATE_ANSWER_S = 1.0
+BUDGETS_S = (0.2, DEADLINE_S)
+TINY_BUDGETS_S = (0.001, 0.04)
+TINY_BUDGET_FRACTION = 0.03
+PATIENCE_S = (0.001, 0.1)  # of clients that disconnect early
+EARLY_DISCONNECT_FRACTION = 0.5  # of the requests of clients that do so
+RECONNECT_INTERVAL_S = 0.05
+LARGE_BODY_BYTES = 20_000
+LARGE_BODY_FRACTION = 0.05
+SMALL_BODY_BYTES = 20
+NO_ANSWER_ERRORS = (TimeoutError, asyncio.IncompleteReadError, ConnectionError)
 
 
 @dataclass(slots=True)
 class NodeView:
-    """What callers know of their node."""
+    """What clients know of their node."""
 
     number: int
     address: tuple[str, int]
-    open_to_new: bool = True  # not ended, or ending for too long
-    killed_s: float = -1.0  # when its process was last killed outright
+    accepts_connections: bool = True  # not ended, or ending for too long
+    killed_at_s: float = -1.0  # when its process was last killed outright
 
 
-class CallerBase:
-    """What all callers share: ids, requests, connections."""
+@dataclass(frozen=True, slots=True)
+class DrawnRequest:
+    """A request that a client is about to send."""
+
+    request_id: str
+    request_class: RequestClass
+    budget_s: float
+    data: bytes
+
+
+async def read_answer(reader: asyncio.StreamReader, limit_s: float) -> Response:
+    """Read the next answer; raises one of `NO_ANSWER_ERRORS` where there is none."""
+    # asyncio.wait_for may swallow a cancellation that comes as the answer does.
+    async with asyncio.timeout(limit_s):
+        return await read_response(reader)
+
+
+class Client:
+    """What all clients share: requests, connections, and the check whether the node was killed."""
 
     def __init__(self, oracle: Oracle, node: NodeView, rng: random.Random, new_id: Callable[[], str]) -> None:
-        self._oracle, self._node, self._rng, self._new_id = oracle, node, rng, new_id
+        self._oracle = oracle
+        self._node = node
+        self._rng = rng
+        self._new_id = new_id
         self._loop = asyncio.get_running_loop()
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Connect to the node, as soon as it accepts connections."""
         while True:
-            if self._node.open_to_new:
+            if self._node.accepts_connections:
                 with contextlib.suppress(OSError):
                     return await asyncio.open_connection(*self._node.address)
-            await asyncio.sleep(CONNECT_EVERY_S)
-
-    def _request(self) -> tuple[str, RequestKind, float, bytes]:
-        """A new request: id, kind, budget and bytes."""
-        id = self._new_id()
-        kind = self._rng.choices(KINDS, [kind.share for kind in KINDS])[0]
-        tiny = self._rng.random() < TINY_SHARE
-        budget_s = round(self._rng.uniform(*(TINY_BUDGETS_S if tiny else BUDGETS_S)), 3)
-        return id, kind, budget_s, render(id, kind, budget_s, self._body(kind))
-
-    def _body(self, kind: RequestKind) -> bytes:
-        if kind is KINDS[0]:
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
+
+    def _draw_request(self) -> DrawnRequest:
+        request_id = self._new_id()
+        [request_class] = self._rng.choices(CLASSES, [each.traffic_fraction for each in CLASSES])
+        is_tiny = self._rng.random() < TINY_BUDGET_FRACTION
+        budget_s = round(self._rng.uniform(*(TINY_BUDGETS_S if is_tiny else BUDGETS_S)), 3)
+        body = self._draw_body(request_class)
+        data = render_request(request_id, request_class.name, f"{budget_s:.3f}", body, host="soak")
+        return DrawnRequest(request_id, request_class, budget_s, data)
+
+    def _draw_body(self, request_class: RequestClass) -> bytes:
+        if request_class is READ:
             return b""
-        return b"y" * (LARGE_BODY if self._rng.random() < LARGE_SHARE else 20)
-
-
-def render(id: str, kind: RequestKind, budget_s: float, body: bytes) -> bytes:
-    """A request as callers send it."""
-    method = "GET" if kind.name == "read" else "POST"
-    key = f"Idempotency-Key: key-{id}\r\n" if kind.name == "save" else ""
-    return (
-        f"{method} /{kind.name} HTTP/1.1\r\nHost: soak\r\nX-Call-Id: {id}\r\n"
-        f"X-Budget: {budget_s:.3f}\r\n{key}Content-Length: {len(body)}\r\n\r\n"
-    ).encode() + body
-
+        is_large = self._rng.random() < LARGE_BODY_FRACTION
+        return b"y" * (LARGE_BODY_BYTES if is_large else SMALL_BODY_BYTES)
 
-async def read_answer(reader: asyncio.StreamReader, limit_s: float) -> tuple[int, bytes]:
-    """The next answer; raises `IncompleteReadError`, `ConnectionError` or `TimeoutError` where there is none.
+    def _record_sent(self, request: DrawnRequest, budget_s: float) -> None:
+        class_name = request.request_class.name
+        self._oracle.request_sent(request.request_id, class_name, self._node.number, budget_s)
 
-    (`asyncio.wait_for` may swallow a cancellation that comes as the answer does.)
-    """
-    async with asyncio.timeout(limit_s):
-        head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-        length = head.lower().partition("content-length:")[2].split("\r\n")[0]
-        return int(head.split()[1]), await reader.readexactly(int(length))
+    def _was_killed_since_sent(self, request: DrawnRequest) -> bool:
+        """Whether the node was killed with a request: its answer is nobody's fault then."""
+        sent_at_s = self._oracle.requests[request.request_id].sent_at_s
+        return self._node.killed_at_s >= sent_at_s - TIME_SLACK_S
 
 
-class HonestCaller(CallerBase):
+class PatientClient(Client):
     """Sends one request at a time and waits for each answer; keeps its connection."""
 
-    leaves_early = False  # set while callers leave
+    disconnects_early = False  # set while the fault lasts
 
-    async def run(self, gap_s: float) -> None:
-        """Ask again and again, with a mean gap between answers and requests."""
+    async def run(self, mean_gap_s: float) -> None:
+        """Send request after request, with a mean gap between an answer and the next request."""
         while True:
             reader, writer = await self._connect()
             try:
-                await self._use(reader, writer, gap_s)
+                await self._use_connection(reader, writer, mean_gap_s)
             finally:
                 writer.close()
 
-    async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, gap_s: float) -> None:
+    async def _use_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, mean_gap_s: float
+    ) -> None:
         """Use a connection as long as it stays open."""
-        used = False
+        is_first = True
         while True:
-            await asyncio.sleep(self._rng.expovariate(1.0 / gap_s))
+            await asyncio.sleep(self._rng.expovariate(1.0 / mean_gap_s))
             if reader.at_eof() or writer.is_closing():
-                return None
-            id, kind, budget_s, data = self._request()
-            writer.write(data)
-            self._oracle.request_sent(id, kind.name, self._node.number, budget_s)
-            if self.leaves_early and self._rng.random() < 0.5:
-                await asyncio.sleep(self._rng.uniform(*PATIENCE_S))
-                writer.close()
-                return self._oracle.caller_left(id)
-            try:
-                limit_s = budget_s + ANSWER_GRACE_S + LATE_S + self._oracle.slack_s
-                status, body = await read_answer(reader, limit_s)
-            except TimeoutError:
-                return self._unanswered(id, "no answer, on a connection that stays open")
-            except (asyncio.IncompleteReadError, ConnectionError) as problem:
-                return await self._closed(id, data, used, problem)
-            self._oracle.answered(id, status, body)
-            used = True
-
-    async def _closed(self, id: str, data: bytes, used: bool, problem: Exception) -> None:
-        """The connection ended without an answer: on a used one it may have crossed the request."""
-        if used and not self._oracle.forwarded(id) and not self._was_killed(id):
-            reader, writer = await self._connect()
-            try:
-                writer.write(data)
-                self._oracle.request_resent(id)
-                status, body = await read_answer(reader, DEADLINE_MS / 1000.0 + LATE_S)
-                return self._oracle.answered(id, status, body)
-            except (TimeoutError, asyncio.IncompleteReadError, ConnectionError) as again:
-                problem = again
-            finally:
-                writer.close()
-        self._unanswered(id, f"closed without an answer: {problem!r:.60}")
-
-    def _was_killed(self, id: str) -> bool:
-        return self._node.killed_s >= self._oracle.requests[id].sent_s - TIME_SLACK_S
-
-    def _unanswered(self, id: str, why: str) -> None:
-        if not self._was_killed(id):
-            self._oracle.unanswered(id, why)
-        self._oracle.requests[id].left_s = self._loop.time()
-
-
-class BadCaller(CallerBase):
-    """Sends what is no proper request, or too much, and checks what it is owed."""
-
-    async def flood(self) -> None:
-        """Many requests in one write: each is owed its answer."""
-        reader, writer = await self._connect()
-        requests = [self._request() for _ in range(FLOOD)]
-        writer.write(b"".join(data for _, _, _, data in requests))
-        for id, kind, budget_s, _ in requests:
-            self._oracle.request_sent(id, kind.name, self._node.number, max(budget_s, BUDGETS_S[1]))
-        for id, *_ in requests:
-            try:
-                limit_s = DEADLINE_MS / 1000.0 + ANSWER_GRACE_S + LATE_S + self._oracle.slack_s
-                status, body = await read_answer(reader, limit_s)
-            except (TimeoutError, asyncio.IncompleteReadError, ConnectionError) as problem:
-                if self._node.killed_s < self._oracle.requests[id].sent_s - TIME_SLACK_S:
-                    self._oracle.unanswered(id, f"one of many in a write: {problem!r:.60}")
-                break
-            self._oracle.answered(id, status, body)
+                return
+            request = self._draw_request()
+            writer.write(request.data)
+            self._record_sent(request, request.budget_s)
+            if self.disconnects_early and self._rng.random() < EARLY_DISCONNECT_FRACTION:
+                await self._disconnect(request, writer)
+                return
+            if not await self._receive_answer(request, reader, is_first_request=is_first):
+                return
+            is_first = False
+
+    async def _disconnect(self, request: DrawnRequest, writer: asyncio.StreamWriter) -> None:
+        """Close while a request is in flight."""
+        await asyncio.sleep(self._rng.uniform(*PATIENCE_S))
         writer.close()
+        self._oracle.client_disconnected(request.request_id)
 
-    async def garbage(self) -> None:
-        """No HTTP, or a header that is wrong: an error or a close is owed."""
-        bad = self._rng.choice(
-            (
-                b"\x16\x03\x01\r\n\r\n",
-                b"GET /nowhere HTTP/1.1\r\n\r\n",
-                b"x" * 100_000,
-                b"PUT / HTTP/1.1\r\n\r\n",
-            )
-        )
-        await self._owed_an_end("garbage", bad)
-
-    async def garbage_behind_a_request(self) -> None:
-        """A good request, and no HTTP behind it: its answer is owed, then an error."""
-        reader, writer = await self._connect()
-        id, kind, budget_s, data = self._request()
-        writer.write(data + b"no HTTP\r\n\r\n")
-        self._oracle.request_sent(id, kind.name, self._node.number, budget_s)
+    async def _receive_answer(
+        self, request: DrawnRequest, reader: asyncio.StreamReader, *, is_first_request: bool
+    ) -> bool:
+        """Read the answer to a request; whether the connection may be used on."""
+        limit_s = request.budget_s + ANSWER_GRACE_S + LATE_ANSWER_S + self._oracle.slack_s
         try:
-            status, body = await read_answer(reader, PEER_S + LATE_S + self._oracle.slack_s)
-            self._oracle.answered(id, status, body)
-        except (TimeoutError, asyncio.IncompleteReadError, ConnectionError) as problem:
-            if self._node.killed_s < self._oracle.requests[id].sent_s - TIME_SLACK_S:
-                self._oracle.unanswered(id, f"garbage came behind it: {problem!r:.60}")
-        writer.close()
-
-    async def half(self) -> None:
-        """Half a request, and no more of it."""
-        _, _, _, data = self._request()
-        await self._owed_an_end("half a request", data[: len(data) // 2])
-
-    async def _owed_an_end(self, what: str, data: bytes) -> None:
+            response = await read_answer(reader, limit_s)
+        except TimeoutError:
+            self._report_unanswered(request, "no answer, on a connection that stays open")
+            return False
+        except (asyncio.IncompleteReadError, ConnectionError) as problem:
+            await self._connection_closed(request, problem, is_first_request=is_first_request)
+            return False
+        self._oracle.answered(request.request_id, response.status, response.body)
+        return True
+
+    async def _connection_closed(
+        self, request: DrawnRequest, problem: Exception, *, is_first_request: bool
+    ) -> None:
+        """The connection ended without an answer: on a used one it may have crossed the request."""
+        may_have_crossed = not is_first_request and not self._oracle.was_forwarded(request.request_id)
+        error: Exception | None = problem
+        if may_have_crossed and not self._was_killed_since_sent(request):
+            error = await self._resend(request)
+        if error is not None:
+            self._report_unanswered(request, f"closed without an answer: {error!r:.60}")
+
+    async def _resend(self, request: DrawnRequest) -> Exception | None:
+        """Send a request on a new connection; why there is no answer, if there is none."""
         reader, writer = await self._connect()
-        began_s = self._loop.time()
-        with contextlib.suppress(ConnectionError):
-            writer.write(data)
         try:
-            async with asyncio.timeout(PEER_S + LATE_S):
-                await reader.read(1)
-        except TimeoutError:
-            pass
-        except ConnectionError:
-            pass
-        took_s = self._loop.time() - began_s
-        if took_s > PEER_S + TIME_SLACK_S + self._oracle.slack_s and self._node.killed_s < began_s:
-            self._oracle.report(Rule.PEER, what, f"no error and no close within {took_s:.1f} s")
-        writer.close()
-
-    async def crowd(self, lasts_s: float) -> None:
-        """Connections that say nothing."""
-        writers = []
-        for _ in range(CROWD):
-            if self._node.open_to_new:
-                with contextlib.suppress(OSError):
-                    writers.append((await asyncio.open_connection(*self._node.address))[1])
-        await asyncio.sleep(lasts_s)
-        for writer in writers:
+            writer.write(request.data)
+            self._oracle.request_resent(request.request_id)
+            response = await read_answer(reader, DEADLINE_S + LATE_ANSWER_S)
+        except NO_ANSWER_ERRORS as problem:
+            return problem
+        finally:
             writer.close()
+        self._oracle.answered(request.request_id, response.status, response.body)
+        return None
+
+    def _report_unanswered(self, request: DrawnRequest, why: str) -> None:
+        if not self._was_killed_since_sent(request):
+            self._oracle.unanswered(request.request_id, why)
+        self._oracle.client_disconnected(request.request_id)
--- a/soak/oracle.py
+++ b/soak/oracle.py
@@ -1,4 +1,4 @@
-"""Checks the rules by what crosses the sockets of callers, servers and discovery.
+"""Checks the rules by what crosses the sockets of clients, servers and discovery.
 
 Times are seconds on the soak's monotonic clock. `slack_s` says by how much the soak itself, or a node that is
 held up on purpose, may be late; every limit in time is widened by it.
@@ -6,242 +6,182 @@
 
 from __future__ import annotations
 
-import math
-from collections import defaultdict, deque
+from collections import defaultdict
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from enum import Enum
 
 from soak import settings
-from soak.settings import EFFECTS, Effect
+from soak.notifications import Notification, NotificationLog
+from soak.records import AttemptRecord, RequestRecord, Rule, Violation
+from soak.settings import IDEMPOTENCY_BY_CLASS, Idempotency
+from soak.slow_start_check import Arrival, SlowStartCheck
+
+__all__ = ["Oracle", "Rule"]
 
 TIME_SLACK_S = 0.05  # of every limit in time
-BUDGET_SLACK_S = 0.15  # by which the time that a server is told may exceed what is left
-GONE_S = 0.1  # after its caller has closed, no attempt of a request may begin
+BUDGET_SLACK_S = 0.15  # by which the time that a server is given may exceed what is left
+DISCONNECT_GRACE_S = 0.1  # after its client has closed, no attempt of a request may begin
 ANSWER_GRACE_S = 0.5  # after its time, in which an answer earns nothing and is not lost
-PEER_S = 3.0  # in which whoever sends no proper request is owed an error or a close
+IMPROPER_REQUEST_LIMIT_S = 3.0  # in which whoever sends no proper request is owed an error or a close
 OVERLAP_CHECK_S = 0.1  # after which the end of an earlier attempt must have been seen
-SMALL_COUNT = 30.0  # under which a cold server is allowed a wider margin
-TOLD_SHARE = 2.0 / 3.0  # of what overloads a cold server has to come from nodes that were told of its start
-
-
-class Rule(Enum):
-    """What a run must not break."""
-
-    LOST = "lost"  # no final answer, or one that no server made
-    DUPLICATE = "duplicate"  # run more often than its class allows, or two attempts at once
-    DRAIN = "drain"  # sent to a server that was told to be leaving or gone
-    FAILBACK = "failback"  # a cold server overloaded
-    GONE = "gone"  # sent for a caller that had closed
-    DEADLINE = "deadline"  # a server told more time than was left
-    PEER = "peer"  # no error and no close for whoever sent no proper request
-    CRASH = "crash"  # a process that ended unasked, did not get ready, or did not end
-    INVARIANT = "invariant"  # the node's own count
-
-
-@dataclass(frozen=True, slots=True)
-class Violation:
-    """One broken rule."""
-
-    rule: Rule
-    request: str  # its id, or what else it is about
-    at_s: float
-    detail: str
-    faults: tuple[str, ...]  # active then
-
-
-@dataclass(eq=False, slots=True)
-class AttemptRecord:
-    """A copy of a request that arrived whole at a server's machine."""
-
-    request: str
-    server: str
-    group: int
-    first_byte_s: float
-    last_byte_s: float
-    closed_s: float | None = None  # answered, or its connection has ended
-    refused: bool = False
-    body: bytes | None = None  # of the answer that the server made for it
-
-
-@dataclass(eq=False, slots=True)
-class RequestRecord:
-    """A request as its caller sent it."""
-
-    id: str
-    kind: str
-    node: int
-    sent_s: float
-    budget_s: float
-    left_s: float = math.inf  # when its caller closed
-    answered: bool = False
-    attempts: list[AttemptRecord] = field(default_factory=list)
 
 
 class Oracle:
-    """The books of a run, and the rules broken so far."""
+    """Records what happens in a run, and the rules broken so far."""
 
     def __init__(
-        self, now_s: Callable[[], float], active: Callable[[], tuple[str, ...]], capacity: float
+        self, now_s: Callable[[], float], active_faults: Callable[[], tuple[str, ...]], capacity: float
     ) -> None:
-        self._now_s, self._active = now_s, active
-        self._capacity = capacity  # of a warm server, in requests a second
+        """`capacity` is that of a warm server, in requests a second."""
+        self._now_s = now_s
+        self._active_faults = active_faults
         self.slack_s = 0.0
-        self.held_up_s = 0.0  # by which a fault holds nodes up between reading their clock and writing
+        self.pause_allowance_s = (
+            0.0  # by which a fault holds nodes up between reading their clock and writing
+        )
         self.violations: list[Violation] = []
         self.requests: dict[str, RequestRecord] = {}
         self.answers: defaultdict[int, int] = defaultdict(int)  # by status
-        self._told_away: dict[tuple[int, str], float] = {}  # node and server: when it counts as told
-        self._told_start: dict[tuple[int, str], float] = {}  # the start that a node has been told of
-        self._started: dict[str, float] = {}  # servers' last starts; none for those up from the beginning
-        self._arrivals: defaultdict[str, deque[tuple[float, int]]] = defaultdict(deque)
-
-    def report(self, rule: Rule, request: str, detail: str) -> None:
-        """Note a broken rule."""
-        known = self.requests.get(request)
-        if known is not None:
-            sent_s = self._now_s() - known.sent_s
-            detail += f" (node {known.node}, {known.kind}, {known.budget_s:.3f} s, sent {sent_s:.3f} s ago)"
-        self.violations.append(Violation(rule, request, self._now_s(), detail, self._active()))
+        self._notifications = NotificationLog()
+        self._slow_start = SlowStartCheck(capacity)
+
+    def report(self, rule: Rule, request_id: str, detail: str) -> None:
+        """Record a broken rule; `request_id` may name something else that it is about."""
+        request = self.requests.get(request_id)
+        if request is not None:
+            age_s = self._now_s() - request.sent_at_s
+            detail += f" (node {request.node}, {request.class_name}, {request.budget_s:.3f} s, sent {age_s:.3f} s ago)"
+        self.violations.append(Violation(rule, request_id, self._now_s(), detail, self._active_faults()))
 
     # Discovery
 
-    def told(self, node: int, server: str, away: bool, started_s: float | None, counts_s: float) -> None:
-        """What discovery has written to a node, or what counts as told all the same."""
-        if not away:
-            self._told_away.pop((node, server), None)
-        elif (node, server) not in self._told_away:
-            self._told_away[node, server] = counts_s
-        else:
-            self._told_away[node, server] = min(counts_s, self._told_away[node, server])
-        if started_s is not None:
-            self._told_start[node, server] = started_s
+    def notified(self, notification: Notification) -> None:
+        """Discovery has written an entry to a node, or the entry counts as written all the same."""
+        self._notifications.add(notification)
 
     def node_restarted(self, node: int) -> None:
-        """A new process knows only what it is told from now on."""
-        for key in [key for key in self._told_away if key[0] == node]:
-            del self._told_away[key]
-        for key in [key for key in self._told_start if key[0] == node]:
-            del self._told_start[key]
+        """A node has a new process."""
+        self._notifications.forget_node(node)
 
     def server_started(self, server: str) -> None:
         """A server has started cold."""
-        self._started[server] = self._now_s()
-        self._arrivals[server].clear()
+        self._slow_start.server_started(server, self._now_s())
 
-    def warm_share(self, server: str, at_s: float) -> float:
-        """The share of its capacity that a server has by now."""
-        age_s = at_s - self._started.get(server, -math.inf)
-        ramp = min(1.0, age_s / settings.RAMP_S)
-        return settings.START_CAPACITY + (1.0 - settings.START_CAPACITY) * ramp
+    def capacity_fraction(self, server: str, at_s: float) -> float:
+        """The part of its capacity that a server has by then."""
+        return self._slow_start.capacity_fraction(server, at_s)
 
-    # Callers
+    # Clients
 
-    def request_sent(self, id: str, kind: str, node: int, budget_s: float) -> None:
-        """A caller has written a request's last byte."""
-        self.requests[id] = RequestRecord(id, kind, node, self._now_s(), budget_s)
+    def request_sent(self, request_id: str, class_name: str, node: int, budget_s: float) -> None:
+        """A client has written a request's last byte."""
+        self.requests[request_id] = RequestRecord(request_id, class_name, node, self._now_s(), budget_s)
 
-    def request_resent(self, id: str) -> None:
-        """A caller sends a request once more, whose connection ended as it was sent."""
-        self.requests[id].sent_s = self._now_s()
+    def request_resent(self, request_id: str) -> None:
+        """A client sends a request once more, whose connection ended as it was sent."""
+        self.requests[request_id].sent_at_s = self._now_s()
 
-    def caller_left(self, id: str) -> None:
-        """A caller has closed with this request in work."""
-        self.requests[id].left_s = self._now_s()
+    def client_disconnected(self, request_id: str) -> None:
+        """A client has closed while this request was in flight."""
+        self.requests[request_id].disconnected_at_s = self._now_s()
 
-    def answered(self, id: str, status: int, body: bytes) -> None:
-        """A caller has read an answer whole."""
-        request = self.requests[id]
+    def answered(self, request_id: str, status: int, body: bytes) -> None:
+        """A client has read a complete answer."""
+        request = self.requests[request_id]
         self.answers[status] += 1
-        if request.answered:
-            self.report(Rule.LOST, id, "answered twice")
-        request.answered = True
-        late_s = self._now_s() - request.sent_s - request.budget_s
+        if request.is_answered:
+            self.report(Rule.LOST, request_id, "answered twice")
+        request.is_answered = True
+        late_s = self._now_s() - request.sent_at_s - request.budget_s
         if late_s > ANSWER_GRACE_S + TIME_SLACK_S + self.slack_s:
-            self.report(Rule.LOST, id, f"answered {late_s:.3f} s after its time")
+            self.report(Rule.LOST, request_id, f"answered {late_s:.3f} s after its time")
         if status == 200 and body not in [attempt.body for attempt in request.attempts]:
-            self.report(Rule.LOST, id, "served with something that no server made for it")
+            self.report(Rule.LOST, request_id, "served with something that no server made for it")
 
-    def unanswered(self, id: str, why: str) -> None:
-        """A caller has no answer, and will get none."""
-        self.report(Rule.LOST, id, why)
+    def unanswered(self, request_id: str, why: str) -> None:
+        """A client has no answer, and will get none."""
+        self.report(Rule.LOST, request_id, why)
 
-    def forwarded(self, id: str) -> bool:
+    def was_forwarded(self, request_id: str) -> bool:
         """Whether an attempt of a request has arrived at a server."""
-        return bool(self.requests[id].attempts)
+        return bool(self.requests[request_id].attempts)
 
     # Servers
 
-    def attempt_began(self, server: str, node: int | None, at_s: float) -> None:
-        """The first byte of a request for a server has come from a node."""
-        if node is None:
+    def attempt_began(self, request_id: str, server: str, at_s: float) -> None:
+        """The first byte of an attempt has come to a server."""
+        request = self.requests.get(request_id)
+        if request is None:
+            return
+        inactive_from_s = self._notifications.inactive_from_s(request.node, server)
+        if inactive_from_s is None or at_s <= inactive_from_s + settings.DRAIN_GRACE_S + self._slack_s():
+            return
+        late_s = at_s - inactive_from_s
+        self.report(Rule.DRAIN, server, f"sent by node {request.node} {late_s:.3f} s after it was told")
+
+    def attempt_arrived(self, class_name: str, attempt: AttemptRecord, budget_s: float) -> None:
+        """The last byte of an attempt has come; `budget_s` is the time that it gives the server."""
+        request = self.requests.get(attempt.request_id)
+        if request is None or request.class_name != class_name:
+            self.report(Rule.DUPLICATE, attempt.request_id, "no caller sent this request")
             return
-        told_s = self._told_away.get((node, server))
-        if told_s is not None and at_s > told_s + settings.DRAIN_GRACE_S + self._slack():
-            self.report(Rule.DRAIN, server, f"sent by node {node} {at_s - told_s:.3f} s after it was told")
-
-    def attempt_arrived(self, id: str, kind: str, attempt: AttemptRecord, budget_s: float) -> None:
-        """The last byte of an attempt has come."""
-        request = self.requests.get(id)
-        if request is None or request.kind != kind:
-            return self.report(Rule.DUPLICATE, id, "no caller sent this request")
         self._check_deadline(request, attempt, budget_s)
+        self._check_disconnected(request, attempt)
         self._check_repeat(request, attempt)
-        self._check_cold(request.node, attempt)
+        self._check_slow_start(request, attempt)
         request.attempts.append(attempt)
 
-    def _slack(self) -> float:
-        return TIME_SLACK_S + self.slack_s + self.held_up_s
-
-    def _check_deadline(self, request: RequestRecord, attempt: AttemptRecord, budget_s: float) -> None:
-        left_s = request.sent_s + request.budget_s - attempt.first_byte_s
-        if budget_s > max(0.0, left_s) + BUDGET_SLACK_S + self._slack():
-            self.report(Rule.DEADLINE, request.id, f"{budget_s:.3f} s stated where {left_s:.3f} s were left")
-        since_s = attempt.first_byte_s - request.left_s
-        if since_s > GONE_S + self._slack():
-            self.report(Rule.GONE, request.id, f"sent {since_s:.3f} s after its caller had closed")
-
-    def _check_repeat(self, request: RequestRecord, attempt: AttemptRecord) -> None:
-        if len(request.attempts) >= settings.MAX_ATTEMPTS:
-            self.report(Rule.DUPLICATE, request.id, f"attempt {len(request.attempts) + 1}")
-        ran = [earlier for earlier in request.attempts if not earlier.refused]
-        if not ran:
-            return
-        effect = EFFECTS[request.kind]
-        if effect is Effect.UNSAFE:
-            self.report(Rule.DUPLICATE, request.id, "unsafe, and an earlier attempt may have run")
-        elif effect is Effect.KEYED:
-            after_s = attempt.last_byte_s - ran[0].last_byte_s
-            if attempt.group != ran[0].group:
-                self.report(Rule.DUPLICATE, request.id, "keyed, and sent to another group")
-            elif after_s > settings.KEY_WINDOW_MS / 1000.0 + self._slack():
-                self.report(Rule.DUPLICATE, request.id, f"keyed, and sent again after {after_s:.3f} s")
-
     def check_overlap(self, attempt: AttemptRecord) -> None:
         """Some time after an attempt's arrival: the earlier ones must have ended before it."""
-        request = self.requests.get(attempt.request)
+        request = self.requests.get(attempt.request_id)
         if request is None:
             return
+        latest_end_s = attempt.last_byte_at_s + self._slack_s()
         for earlier in request.attempts:
             if earlier is attempt:
                 return
-            if earlier.closed_s is None or earlier.closed_s > attempt.last_byte_s + self._slack():
-                self.report(Rule.DUPLICATE, request.id, "two attempts out at once")
+            if earlier.closed_at_s is None or earlier.closed_at_s > latest_end_s:
+                self.report(Rule.DUPLICATE, request.request_id, "two attempts out at once")
 
-    def _check_cold(self, node: int, attempt: AttemptRecord) -> None:
-        started_s = self._started.get(attempt.server)
-        age_s = attempt.last_byte_s - started_s if started_s is not None else math.inf
-        if started_s is None or age_s > settings.RAMP_S:
+    def _slack_s(self) -> float:
+        return TIME_SLACK_S + self.slack_s + self.pause_allowance_s
+
+    def _check_deadline(self, request: RequestRecord, attempt: AttemptRecord, budget_s: float) -> None:
+        remaining_s = request.sent_at_s + request.budget_s - attempt.first_byte_at_s
+        if budget_s > max(0.0, remaining_s) + BUDGET_SLACK_S + self._slack_s():
+            detail = f"{budget_s:.3f} s stated where {remaining_s:.3f} s were left"
+            self.report(Rule.DEADLINE, request.request_id, detail)
+
+    def _check_disconnected(self, request: RequestRecord, attempt: AttemptRecord) -> None:
+        since_s = attempt.first_byte_at_s - request.disconnected_at_s
+        if since_s > DISCONNECT_GRACE_S + self._slack_s():
+            detail = f"sent {since_s:.3f} s after its caller had closed"
+            self.report(Rule.DISCONNECTED, request.request_id, detail)
+
+    def _check_repeat(self, request: RequestRecord, attempt: AttemptRecord) -> None:
+        if len(request.attempts) >= settings.MAX_ATTEMPTS:
+            self.report(Rule.DUPLICATE, request.request_id, f"attempt {len(request.attempts) + 1}")
+        executed = request.executed_attempts()
+        if not executed:
             return
-        arrivals = self._arrivals[attempt.server]
-        arrivals.append((attempt.last_byte_s, node))
-        while arrivals[0][0] < attempt.last_byte_s - settings.OVERLOAD_FOR_S:
-            arrivals.popleft()
-        share = self.warm_share(attempt.server, attempt.last_byte_s)
-        allowed = settings.OVERLOAD_FACTOR * self._capacity * share * settings.OVERLOAD_FOR_S
-        small = allowed < SMALL_COUNT
-        most = allowed + (3.0 if small else 2.0) * math.sqrt(allowed) + (3.0 if small else 2.0)
-        told = sum(self._told_start.get((by, attempt.server)) == started_s for _, by in arrivals)
-        if len(arrivals) > most and told > TOLD_SHARE * len(arrivals):
-            self.report(Rule.FAILBACK, attempt.server, f"{len(arrivals)} attempts in a window of {most:.1f}")
-            arrivals.clear()
+        idempotency = IDEMPOTENCY_BY_CLASS[request.class_name]
+        if idempotency is Idempotency.NON_IDEMPOTENT:
+            detail = "unsafe, and an earlier attempt may have run"
+            self.report(Rule.DUPLICATE, request.request_id, detail)
+        elif idempotency is Idempotency.KEYED:
+            self._check_deduplication(request, executed[0], attempt)
+
+    def _check_deduplication(
+        self, request: RequestRecord, first: AttemptRecord, attempt: AttemptRecord
+    ) -> None:
+        """A repeat must come to the group that dropped it, while the group still knows the key."""
+        after_s = attempt.last_byte_at_s - first.last_byte_at_s
+        if attempt.group != first.group:
+            self.report(Rule.DUPLICATE, request.request_id, "keyed, and sent to another group")
+        elif after_s > settings.DEDUPLICATION_WINDOW_MS / 1000.0 + self._slack_s():
+            self.report(Rule.DUPLICATE, request.request_id, f"keyed, and sent again after {after_s:.3f} s")
+
+    def _check_slow_start(self, request: RequestRecord, attempt: AttemptRecord) -> None:
+        arrival = Arrival(attempt.last_byte_at_s, request.node)
+        overload = self._slow_start.overload(attempt.server, arrival, self._notifications.knows_start)
+        if overload is not None:
+            self.report(Rule.SLOW_START, attempt.server, overload)
--- a/soak/run.py
+++ b/soak/run.py
@@ -4,44 +4,43 @@
 
 import asyncio
 import contextlib
-import errno
 import os
 import random
-import signal
 import tempfile
-from collections.abc import Callable, Coroutine
+from collections.abc import Coroutine
 from dataclasses import dataclass
 from pathlib import Path
+from signal import SIGCONT
 from typing import Any, TypeVar
 
 import uvloop
 
-from soak.clients import BadCaller, HonestCaller, NodeView
-from soak.discovery import Agent, AgentMode, Registry, Status
-from soak.node_process import NodeProcess
-from soak.oracle import Oracle, Rule, Violation
-from soak.proxy import ProxyMode
-from soak.schedule import LONGEST_S, SERVER_KINDS, Fault, FaultKind, Schedule
-from soak.servers import ServerMode, ServerStandIn
+from soak.clients import NodeView, PatientClient
+from soak.discovery import Agent, EndpointRegistry
+from soak.faults import FaultPlayer
+from soak.faulty_clients import FaultyClient
+from soak.node_process import Launch, NodeProcess
+from soak.oracle import Oracle
+from soak.records import Rule, Violation
+from soak.schedule import MAX_DURATION_S, FaultKind, Schedule
+from soak.servers import ServerIdentity, ServerStandIn
 from soak.settings import GROUPS
-from soak.shim import NS_PER_S, Field, NoCompiler, build_shim
-
-CallerType = TypeVar("CallerType", HonestCaller, BadCaller)
-ROOT = Path(__file__).parent.parent
-CALLERS_A_NODE = 6
-MEAN_GAP_S = 0.12  # between a caller's answer and its next request
+from soak.shim import NoCompilerError, build_shim
+from standins.checkout import ROOT
+
+ClientType = TypeVar("ClientType", PatientClient, FaultyClient)
+MIN_SERVERS = 4
+CLIENTS_PER_NODE = 6
+AGENTS_PER_NODE = 2
+MEAN_GAP_S = 0.12  # between a client's answer and its next request
 ANSWER_S = 0.02  # about the time that an answer takes, for the load that servers are built for
 UTILIZATION = 0.8  # of servers by that load
-LAG_EVERY_S = 0.02
-CLOCK_STEP_S = 3600
-RELOAD_EVERY_S = 0.2
-BAD_CALLERS = 4  # at a time, for each such fault
-DRAINED_S = 1.5  # from a drain's end to the server's leave
-LEFT_S = 0.5
-LISTEN_PORT, FIRST_SERVER = 9000, 100  # of nodes and servers; the last part of the first server's address
+LAG_INTERVAL_S = 0.02
+LAG_SAMPLES = 25  # whose worst counts
+LAG_FACTOR = 2.0  # by which the slack exceeds the lag measured
+LISTEN_PORT = 9000  # of nodes
+FIRST_SERVER_HOST = 100  # the last part of the first server's address
 START_TIMEOUT_S = 60.0
-ACCEPT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED)
-LOG_ERRORS = (errno.ENOSPC, errno.EIO)
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,133 +50,158 @@
     violations: tuple[Violation, ...]
     requests: int
     attempts: int
-    answers: dict[int, int]
-    shimmed: bool  # system calls and clocks could be made to fail
+    answers: dict[int, int]  # by status
+    has_shim: bool  # system calls and clocks could be made to fail
     worst_lag_s: float  # of the soak itself
 
 
 def servers_for(nodes: int) -> int:
-    """How many servers a run has."""
-    return max(4, nodes // 2)
+    """How many servers a run with so many nodes has."""
+    return max(MIN_SERVERS, nodes // 2)
+
+
+def server_capacity_per_s(nodes: int) -> float:
+    """The requests that each warm server of a run can do."""
+    requests_per_s = nodes * CLIENTS_PER_NODE / (MEAN_GAP_S + ANSWER_S)
+    return requests_per_s / servers_for(nodes) / UTILIZATION
+
+
+def own_network() -> str:
+    """The first three parts of addresses that no other run on this machine uses.
+
+    On a shared address a port that is free during a restart may go to any connection.
+    """
+    process_id = os.getpid()
+    return f"127.{1 + process_id // 256 % 250}.{process_id % 256}"
 
 
 class Run:
     """One run of a schedule."""
 
     def __init__(self, schedule: Schedule, root: Path = ROOT) -> None:
-        self._schedule, self._root = schedule, root
+        self._schedule = schedule
+        self._root = root
         self._rng = random.Random(schedule.seed)
         self._loop = asyncio.get_running_loop()
         self._began_s = self._loop.time()
         self._worst_lag_s = 0.0
-        servers = servers_for(schedule.nodes)
-        rate = schedule.nodes * CALLERS_A_NODE / (MEAN_GAP_S + ANSWER_S)
-        capacity = rate / servers / UTILIZATION
-        self.oracle = Oracle(self._loop.time, self._active, capacity)
-        if any(fault.kind is FaultKind.NODE_PAUSE for fault in schedule.faults):
-            self.oracle.held_up_s = LONGEST_S[FaultKind.NODE_PAUSE]
-        # Addresses of this run's own: a port that is free during a restart may go to any connection.
-        self._network = f"127.{1 + os.getpid() // 256 % 250}.{os.getpid() % 256}"
-        self._registry = Registry()
-        self._servers = [
-            ServerStandIn(
-                self.oracle,
-                self._registry,
-                f"s{n}",
-                n % GROUPS,
-                f"{self._network}.{FIRST_SERVER + n}",
-                capacity,
-                self._rng,
-            )
-            for n in range(servers)
-        ]
+        self._network = own_network()
+        self.oracle = self._make_oracle()
+        self._registry = EndpointRegistry()
+        self._servers = [self._make_server(number) for number in range(servers_for(schedule.nodes))]
         self._nodes: list[NodeProcess] = []
-        self._callers: list[list[HonestCaller]] = []
+        self._clients: list[list[PatientClient]] = []  # of each node
         self._tasks: set[asyncio.Task[object]] = set()
-        self._problems: list[BaseException] = []
-        self._ids = 0
-        self._shimmed = False
-
-    def _active(self) -> tuple[str, ...]:
+        self._problems: list[BaseException] = []  # of the soak itself
+        self._requests = 0
+        self._has_shim = False
+
+    def _make_oracle(self) -> Oracle:
+        capacity = server_capacity_per_s(self._schedule.nodes)
+        oracle = Oracle(self._loop.time, self._active_faults, capacity)
+        if any(fault.kind is FaultKind.NODE_PAUSE for fault in self._schedule.faults):
+            oracle.pause_allowance_s = MAX_DURATION_S[FaultKind.NODE_PAUSE]
+        return oracle
+
+    def _make_server(self, number: int) -> ServerStandIn:
+        host = f"{self._network}.{FIRST_SERVER_HOST + number}"
+        identity = ServerIdentity(f"s{number}", number % GROUPS, host)
+        capacity = server_capacity_per_s(self._schedule.nodes)
+        return ServerStandIn(self.oracle, self._registry, identity, capacity, self._rng)
+
+    def _active_faults(self) -> tuple[str, ...]:
         at_s = self._loop.time() - self._began_s
         return tuple(f"{fault.kind.value}@{fault.target}" for fault in self._schedule.active(at_s))
 
     def _new_id(self) -> str:
-        self._ids += 1
-        return f"r{self._ids}"
+        self._requests += 1
+        return f"r{self._requests}"
 
     def _spawn(self, work: Coroutine[Any, Any, object]) -> None:
         task = self._loop.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._task_done)
 
-    def _finished(self, task: asyncio.Task[object]) -> None:
+    def _task_done(self, task: asyncio.Task[object]) -> None:
         """Keep what went wrong in the soak itself: its run tells nothing then."""
         self._tasks.discard(task)
         if not task.cancelled() and (problem := task.exception()) is not None:
             self._problems.append(problem)
 
     async def play(self) -> Result:
-        """Play the schedule to its end."""
-        with tempfile.TemporaryDirectory(prefix="soak-") as name:
-            folder = Path(name)
+        """Play the schedule to its end; raises what went wrong in the soak itself."""
+        with tempfile.TemporaryDirectory(prefix="soak-") as folder:
             try:
                 async with asyncio.timeout(START_TIMEOUT_S):
-                    await self._start(folder)
-                self._began_s = self._loop.time()
-                for fault in self._schedule.faults:
-                    self._spawn(self._play_fault(fault))
-                await asyncio.sleep(self._schedule.seconds)
+                    await self._start(Path(folder))
+                await self._play_faults()
             finally:
                 await self._end()
             if self._problems:
                 raise self._problems[0]
-            self._count_invariants()
-        attempts = sum(len(request.attempts) for request in self.oracle.requests.values())
+            self._report_broken_invariants()
+        return self._result()
+
+    async def _play_faults(self) -> None:
+        faults = FaultPlayer(self._servers, self._nodes, self._clients, self._make_faulty_client, self._rng)
+        self._began_s = self._loop.time()
+        for fault in self._schedule.faults:
+            self._spawn(faults.play(fault))
+        await asyncio.sleep(self._schedule.seconds)
+
+    def _result(self) -> Result:
         return Result(
-            tuple(self.oracle.violations),
-            len(self.oracle.requests),
-            attempts,
-            dict(self.oracle.answers),
-            self._shimmed,
-            self._worst_lag_s,
+            violations=tuple(self.oracle.violations),
+            requests=len(self.oracle.requests),
+            attempts=sum(len(request.attempts) for request in self.oracle.requests.values()),
+            answers=dict(self.oracle.answers),
+            has_shim=self._has_shim,
+            worst_lag_s=self._worst_lag_s,
         )
 
     async def _start(self, folder: Path) -> None:
-        library = None
-        with contextlib.suppress(NoCompiler):
-            library = await asyncio.to_thread(build_shim, folder)
-        self._shimmed = library is not None
+        shim = None
+        with contextlib.suppress(NoCompilerError):
+            shim = await asyncio.to_thread(build_shim, folder)
+        self._has_shim = shim is not None
         for server in self._servers:
             await server.start()
+        launch = Launch(self._schedule.nodes, folder, self._root, shim)
         for number in range(self._schedule.nodes):
-            agents = [Agent(self._registry, self.oracle, number) for _ in range(2)]
-            for agent in agents:
-                await agent.start()
-            view = NodeView(number, (f"{self._network}.{number + 1}", LISTEN_PORT))
-            self._nodes.append(
-                NodeProcess(self.oracle, view, agents, self._schedule.nodes, folder, self._root, library)
-            )
+            self._nodes.append(await self._make_node(number, launch))
         await asyncio.gather(*(node.start() for node in self._nodes))
         self._spawn(self._measure_lag())
+        self._start_clients()
+
+    async def _make_node(self, number: int, launch: Launch) -> NodeProcess:
+        agents = [Agent(self._registry, self.oracle, number) for _ in range(AGENTS_PER_NODE)]
+        for agent in agents:
+            await agent.start()
+        view = NodeView(number, (f"{self._network}.{number + 1}", LISTEN_PORT))
+        return NodeProcess(self.oracle, view, agents, launch)
+
+    def _start_clients(self) -> None:
         for node in self._nodes:
-            callers = [self._caller(node, HonestCaller) for _ in range(CALLERS_A_NODE)]
-            self._callers.append(callers)
-            for caller in callers:
-                self._spawn(caller.run(MEAN_GAP_S))
+            clients = [self._make_client(node.view, PatientClient) for _ in range(CLIENTS_PER_NODE)]
+            self._clients.append(clients)
+            for client in clients:
+                self._spawn(client.run(MEAN_GAP_S))
 
-    def _caller(self, node: NodeProcess, make: type[CallerType]) -> CallerType:
-        return make(self.oracle, node.view, random.Random(self._rng.getrandbits(64)), self._new_id)
+    def _make_client(self, node: NodeView, client_type: type[ClientType]) -> ClientType:
+        return client_type(self.oracle, node, random.Random(self._rng.getrandbits(64)), self._new_id)
+
+    def _make_faulty_client(self, node: NodeView) -> FaultyClient:
+        return self._make_client(node, FaultyClient)
 
     async def _measure_lag(self) -> None:
         """Widen the limits by how late the soak itself runs, and have agents count what is overdue."""
-        recent = [0.0] * 25
+        recent_s = [0.0] * LAG_SAMPLES
         while True:
-            due_s = self._loop.time() + LAG_EVERY_S
-            await asyncio.sleep(LAG_EVERY_S)
-            recent = [*recent[1:], self._loop.time() - due_s]
-            self.oracle.slack_s = 2.0 * max(recent)
-            self._worst_lag_s = max(self._worst_lag_s, recent[-1])
+            due_s = self._loop.time() + LAG_INTERVAL_S
+            await asyncio.sleep(LAG_INTERVAL_S)
+            recent_s = [*recent_s[1:], self._loop.time() - due_s]
+            self.oracle.slack_s = LAG_FACTOR * max(recent_s)
+            self._worst_lag_s = max(self._worst_lag_s, recent_s[-1])
             for agent in self._registry.agents:
                 agent.count_overdue()
 
@@ -186,133 +210,23 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for node in self._nodes:
-            node.signal(signal.SIGCONT)
+            node.signal(SIGCONT)
             await node.end()
 
-    def _count_invariants(self) -> None:
+    def _report_broken_invariants(self) -> None:
         for node in self._nodes:
-            for line in node.broken_invariants():
-                self.oracle.report(Rule.INVARIANT, f"n{node.view.number}", line[-200:])
-
-    # Faults
-
-    async def _play_fault(self, fault: Fault) -> None:
-        await asyncio.sleep(fault.at_s)
-        if fault.kind in SERVER_KINDS:
-            await self._server_fault(fault, self._servers[fault.target % len(self._servers)])
-        elif fault.kind.value.startswith("agent_"):
-            await self._agent_fault(fault, self._nodes[fault.target % len(self._nodes)])
-        elif fault.kind.value.startswith("callers_"):
-            await self._callers_fault(fault, self._nodes[fault.target % len(self._nodes)])
-        else:
-            await self._node_fault(fault, self._nodes[fault.target % len(self._nodes)])
-
-    async def _server_fault(self, fault: Fault, server: ServerStandIn) -> None:
-        if fault.kind is FaultKind.SERVER_DRAIN:
-            async with server.restarting:
-                server.set_status(Status.LEAVING)
-                await asyncio.sleep(fault.lasts_s + DRAINED_S)
-                server.set_status(Status.LEFT)
-                await asyncio.sleep(LEFT_S)
-                server.die()
-                await server.return_cold()
-        elif fault.kind is FaultKind.SERVER_RESTART:
-            async with server.restarting:
-                server.die()
-                await asyncio.sleep(fault.lasts_s)
-                await server.return_cold()
-        elif fault.kind.value.startswith("proxy_"):
-            server.proxy.set_mode(ProxyMode(fault.kind.value.removeprefix("proxy_")))
-            await asyncio.sleep(fault.lasts_s)
-            server.proxy.set_mode(ProxyMode.GOOD)
-        else:
-            server.mode = ServerMode(fault.kind.value.removeprefix("server_"))
-            await asyncio.sleep(fault.lasts_s)
-            server.mode = ServerMode.GOOD
-
-    async def _agent_fault(self, fault: Fault, node: NodeProcess) -> None:
-        for agent in node.agents:
-            if fault.kind is FaultKind.AGENT_RESETS:
-                agent.reset_calls()
-            else:
-                agent.set_mode(AgentMode(fault.kind.value.removeprefix("agent_")))
-        await asyncio.sleep(fault.lasts_s)
-        for agent in node.agents:
-            agent.set_mode(AgentMode.GOOD)
-
-    async def _callers_fault(self, fault: Fault, node: NodeProcess) -> None:
-        bad = [self._caller(node, BadCaller) for _ in range(BAD_CALLERS)]
-        if fault.kind is FaultKind.CALLERS_LEAVE:
-            for caller in self._callers[node.view.number]:
-                caller.leaves_early = True
-            await asyncio.sleep(fault.lasts_s)
-            for caller in self._callers[node.view.number]:
-                caller.leaves_early = False
-        elif fault.kind is FaultKind.CALLERS_FLOOD:
-            await asyncio.gather(*(caller.flood() for caller in bad))
-        elif fault.kind is FaultKind.CALLERS_GARBAGE:
-            await asyncio.gather(
-                *(caller.garbage() for caller in bad), *(caller.garbage_behind_a_request() for caller in bad)
-            )
-        elif fault.kind is FaultKind.CALLERS_HALF:
-            await asyncio.gather(*(caller.half() for caller in bad))
-        else:
-            await bad[0].crowd(fault.lasts_s)
-
-    async def _node_fault(self, fault: Fault, node: NodeProcess) -> None:
-        match fault.kind:
-            case FaultKind.NODE_STOP:
-                async with node.restarting:  # one that is being restarted is not told to end meanwhile
-                    await node.stop()
-                    await node.start()
-            case FaultKind.NODE_KILL:
-                async with node.restarting:
-                    await node.kill()
-                    await node.start()
-            case FaultKind.NODE_PAUSE:
-                node.signal(signal.SIGSTOP)
-                await asyncio.sleep(fault.lasts_s)
-                node.signal(signal.SIGCONT)
-            case FaultKind.NODE_RELOAD:
-                node.reload(move=True)
-            case FaultKind.NODE_RELOADS:
-                for _ in range(int(fault.lasts_s / RELOAD_EVERY_S) + 1):
-                    node.reload(move=self._rng.random() < 0.5)
-                    await asyncio.sleep(RELOAD_EVERY_S)
-            case FaultKind.NODE_BAD_RELOAD:
-                node.reload_badly()
-            case FaultKind.LOG_STALLS:
-                node.log_read.clear()
-                await asyncio.sleep(fault.lasts_s)
-                node.log_read.set()
-            case _:
-                await self._shim_fault(fault, node)
-
-    async def _shim_fault(self, fault: Fault, node: NodeProcess) -> None:
-        if node.shim is None:
-            return None
-        match fault.kind:
-            case FaultKind.CLOCK_STEP:
-                sign = 1 if self._rng.random() < 0.5 else -1
-                return node.shim.set(Field.WALL_OFFSET_NS, sign * CLOCK_STEP_S * NS_PER_S)
-            case FaultKind.ACCEPT_FAILS:
-                field, error = Field.ACCEPT_ERRNO, self._rng.choice(ACCEPT_ERRORS)
-            case FaultKind.SOCKET_FAILS:
-                field, error = Field.SOCKET_ERRNO, errno.EMFILE
-            case _:
-                field, error = Field.LOG_ERRNO, self._rng.choice(LOG_ERRORS)
-        node.shim.set(field, error)
-        await asyncio.sleep(fault.lasts_s)
-        node.shim.set(field, 0)
+            for line in node.log.broken_invariants():
+                self.oracle.report(Rule.INVARIANT, f"n{node.view.number}", line)
 
 
 def play(schedule: Schedule, root: Path = ROOT) -> Result:
-    """Play a schedule with the program that lies under `root`."""
-
-    async def play_it() -> Result:
-        return await Run(schedule, root).play()
+    """Play a schedule with the program of a checkout.
 
-    return uvloop.run(play_it())
+    Raises:
+        CheckoutError: The checkout's deploy file names no module.
+    """
 
+    async def play_run() -> Result:
+        return await Run(schedule, root).play()
 
-Play = Callable[[Schedule], Result]
+    return uvloop.run(play_run())
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,6 +1,6 @@
 """Which faults a run meets, and when: drawn from a seed, written to a file, read back.
 
-A schedule is all that a run's troubles depend on, so that it can be played again and cut short.
+All faults of a run follow from its schedule, so that it can be played again and cut short.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class FaultKind(Enum):
-    """One kind of trouble; the target is a node's or a server's number."""
+    """One kind of fault; the target is a node's or a server's number. The values stand in saved schedules."""
 
     # Nodes
     NODE_STOP = "node_stop"  # SIGTERM, and a new process once it has ended
@@ -29,7 +29,7 @@
     LOG_FAILS = "log_fails"  # ENOSPC or EIO for writes to standard error
     LOG_STALLS = "log_stalls"  # nobody reads standard error
     # Servers
-    SERVER_DRAIN = "server_drain"  # told to be leaving, later gone
+    SERVER_DRAIN = "server_drain"  # listed as draining, later as removed
     SERVER_RESTART = "server_restart"  # resets, and returns cold
     SERVER_HANG = "server_hang"  # accepts and reads, and never answers
     SERVER_SLOW = "server_slow"
@@ -49,32 +49,31 @@
     AGENT_SLOW = "agent_slow"  # answers in pieces, after a while
     AGENT_RESETS = "agent_resets"  # open watches are reset once
     AGENT_FRAMING = "agent_framing"  # answers with no length, or in chunks
-    # Callers
-    CALLERS_LEAVE = "callers_leave"  # with requests in work
+    # Clients
+    CALLERS_LEAVE = "callers_leave"  # disconnect with requests in flight
     CALLERS_FLOOD = "callers_flood"  # many requests in one write
     CALLERS_GARBAGE = "callers_garbage"  # also behind a good request
     CALLERS_HALF = "callers_half"  # stop in the middle of a request
-    CALLERS_IDLE = "callers_idle"  # a crowd that says nothing
+    CALLERS_IDLE = "callers_idle"  # many connections without a request
 
 
 SERVER_KINDS = frozenset(kind for kind in FaultKind if kind.value.startswith(("server_", "proxy_")))
-SHIM_KINDS = frozenset(
-    (FaultKind.CLOCK_STEP, FaultKind.ACCEPT_FAILS, FaultKind.SOCKET_FAILS, FaultKind.LOG_FAILS)
-)
 # While nothing is accepted nothing is answered: for longer than an answer may be late it would be lost.
-LONGEST_S = {FaultKind.NODE_PAUSE: 0.15, FaultKind.SOCKET_FAILS: 1.0, FaultKind.ACCEPT_FAILS: 0.4}
-SHORTEST_S, USUAL_LONGEST_S = 0.05, 4.0
+MAX_DURATION_S = {FaultKind.NODE_PAUSE: 0.15, FaultKind.SOCKET_FAILS: 1.0, FaultKind.ACCEPT_FAILS: 0.4}
+MIN_DURATION_S = 0.05
+DEFAULT_MAX_DURATION_S = 4.0
 FAULTS_PER_S = 1.5
-QUIET_START_S, QUIET_END_S = 1.0, 2.0
+QUIET_START_S = 1.0  # without faults
+QUIET_END_S = 2.0  # without the begin of a fault
 
 
-class BadSchedule(Exception):
+class ScheduleError(Exception):
     """A schedule that can't be played; the text says in one line why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One trouble: what, when it begins, how long it lasts (s), whom it hits."""
+    """One fault: what, when it begins, how long it lasts, which node or server it hits."""
 
     kind: FaultKind
     at_s: float
@@ -96,7 +95,7 @@
         return json.dumps(asdict(self), default=lambda kind: kind.value)
 
     def active(self, at_s: float) -> list[Fault]:
-        """The faults that are on at a moment of the run."""
+        """The faults that are active at a moment of the run."""
         return [fault for fault in self.faults if fault.at_s <= at_s <= fault.at_s + fault.lasts_s]
 
 
@@ -106,16 +105,17 @@
     nodes: int,
     servers: int,
     kinds: frozenset[FaultKind],
-    rate: float = FAULTS_PER_S,
+    *,
+    faults_per_s: float = FAULTS_PER_S,
 ) -> Schedule:
-    """A schedule of overlapping faults, so many a second, the same for the same arguments."""
+    """A schedule of overlapping faults, the same for the same arguments."""
     rng = random.Random(seed)
     ordered = sorted(kinds, key=lambda kind: kind.value)
     latest_s = seconds - QUIET_END_S
     faults = []
-    for _ in range(round(rate * max(0.0, latest_s - QUIET_START_S))):
+    for _ in range(round(faults_per_s * max(0.0, latest_s - QUIET_START_S))):
         kind = rng.choice(ordered)
-        lasts_s = rng.uniform(SHORTEST_S, LONGEST_S.get(kind, USUAL_LONGEST_S))
+        lasts_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S.get(kind, DEFAULT_MAX_DURATION_S))
         at_s = rng.uniform(QUIET_START_S, latest_s)
         targets = servers if kind in SERVER_KINDS else nodes
         faults.append(Fault(kind, round(at_s, 3), round(lasts_s, 3), rng.randrange(targets)))
@@ -123,7 +123,7 @@
 
 
 def read_schedule(text: str) -> Schedule:
-    """Read what `to_json` wrote; raises `BadSchedule`."""
+    """Read what `to_json` wrote; raises `ScheduleError` where it is none."""
     try:
         obj: dict[str, Any] = json.loads(text)
         faults = tuple(
@@ -132,4 +132,4 @@
         )
         return Schedule(int(obj["seed"]), float(obj["seconds"]), int(obj["nodes"]), faults)
     except (ValueError, TypeError, KeyError) as problem:
-        raise BadSchedule(f"not a schedule: {type(problem).__name__}: {problem!s:.100}") from None
+        raise ScheduleError(f"not a schedule: {type(problem).__name__}: {problem!s:.100}") from None
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -1,4 +1,4 @@
-"""What the nodes of a soak are told, and what its rules allow."""
+"""The settings of the nodes of a soak, and what its rules allow."""
 
 from __future__ import annotations
 
@@ -6,77 +6,81 @@
 from enum import Enum
 from typing import Any
 
+from standins import node_config
+from standins.node_config import Rules
 
-class Effect(Enum):
-    """May a request of a class run more than once?"""
 
-    SAFE = "retryable"
+class Idempotency(Enum):
+    """Whether a request of a class may run more than once; the value is the one of the wire."""
+
+    IDEMPOTENT = "retryable"
     KEYED = "dedup"
-    UNSAFE = "fragile"
+    NON_IDEMPOTENT = "fragile"
 
 
 @dataclass(frozen=True, slots=True)
-class RequestKind:
+class RequestClass:
     """A class of requests."""
 
     name: str
-    effect: Effect
-    share: float  # of the traffic
+    idempotency: Idempotency
+    traffic_fraction: float
 
 
-KINDS = (
-    RequestKind("read", Effect.SAFE, 0.5),
-    RequestKind("save", Effect.KEYED, 0.25),
-    RequestKind("pay", Effect.UNSAFE, 0.25),
+READ = RequestClass("read", Idempotency.IDEMPOTENT, 0.5)
+CLASSES = (
+    READ,
+    RequestClass("save", Idempotency.KEYED, 0.25),
+    RequestClass("pay", Idempotency.NON_IDEMPOTENT, 0.25),
 )
-EFFECTS = {kind.name: kind.effect for kind in KINDS}
+IDEMPOTENCY_BY_CLASS = {request_class.name: request_class.idempotency for request_class in CLASSES}
 # The objective sets how long retries wait: with a short one they are over before a rule about what comes too
-# late (for a caller that has gone, after a repeat's window) can break.
-OBJECTIVE_MS, DEADLINE_MS, KEY_WINDOW_MS = 800.0, 1500.0, 1000.0
+# late (for a client that has disconnected, after a repeat's window) can break.
+OBJECTIVE_MS = 800.0
+DEADLINE_MS = 1500.0
+DEADLINE_S = DEADLINE_MS / 1000.0
+DEDUPLICATION_WINDOW_MS = 1000.0
 MAX_ATTEMPTS = 5
 DRAIN_GRACE_S = 1.0
-START_CAPACITY, RAMP_S = 0.16, 10.0
-OVERLOAD_FACTOR, OVERLOAD_FOR_S = 2.5, 1.5
+START_CAPACITY = 0.16  # of a server that has just started, as a fraction
+RAMP_S = 10.0
+OVERLOAD_FACTOR = 2.5
+OVERLOAD_WINDOW_S = 1.5
 GROUPS = 2  # of servers, each of which drops the repeats of a keyed request
 DESCRIPTORS = 256
-KEEPALIVE_MS = 5_000.0
+IDLE_TIMEOUT_MS = 5_000.0
+CONNECT_TIMEOUT_MS = 250.0
+PERMISSIONS = {
+    "max_attempts": MAX_ATTEMPTS,
+    "connect_timeout_ms": CONNECT_TIMEOUT_MS,
+    "may_cancel": True,
+    "keepalive_ms": IDLE_TIMEOUT_MS,
+}
+RULES = Rules(
+    drain_grace_ms=DRAIN_GRACE_S * 1000.0,
+    start_capacity=START_CAPACITY,
+    ramp_time_ms=RAMP_S * 1000.0,
+    overload_factor=OVERLOAD_FACTOR,
+    overload_window_ms=OVERLOAD_WINDOW_S * 1000.0,
+)
 
 
-def node_settings(nodes: int, number: int) -> dict[str, Any]:
-    """The settings of one node of so many."""
+def _class_settings(request_class: RequestClass) -> dict[str, Any]:
     return {
-        "classes": [
-            {
-                "name": kind.name,
-                "objective_ms": OBJECTIVE_MS,
-                "give_up_ms": DEADLINE_MS,
-                "importance": 1.0,
-                "semantics": kind.effect.value,
-                "dedup_scope": "cell",
-                "window_ms": KEY_WINDOW_MS,
-            }
-            for kind in KINDS
-        ],
-        "tenants": [],
-        "locality": "z",
-        "stages": ["front"],
-        "siblings": nodes,
-        "my_number": number,
-        "tier": 0,
-        "membership_mode": "pushed",
-        "quantum_ms": 0.0,
-        "permissions": {
-            "max_attempts": MAX_ATTEMPTS,
-            "connect_timeout_ms": 250.0,
-            "may_cancel": True,
-            "keepalive_ms": KEEPALIVE_MS,
-        },
-        "rules": {
-            "ask_every_ms": 1000.0,
-            "stop_sending_within_ms": DRAIN_GRACE_S * 1000.0,
-            "start_capacity": START_CAPACITY,
-            "ramp_time_ms": RAMP_S * 1000.0,
-            "overload_factor": OVERLOAD_FACTOR,
-            "overload_for_ms": OVERLOAD_FOR_S * 1000.0,
-        },
+        "name": request_class.name,
+        "objective_ms": OBJECTIVE_MS,
+        "give_up_ms": DEADLINE_MS,
+        "importance": 1.0,
+        "semantics": request_class.idempotency.value,
+        "dedup_scope": "cell",
+        "window_ms": DEDUPLICATION_WINDOW_MS,
     }
+
+
+def node_settings(replicas: int, replica_index: int) -> dict[str, Any]:
+    """The settings of one node of so many."""
+    classes = [_class_settings(request_class) for request_class in CLASSES]
+    common = node_config.node_settings(
+        classes, PERMISSIONS, RULES, replicas=replicas, replica_index=replica_index
+    )
+    return common | {"tenants": [], "locality": "z", "stages": ["front"], "quantum_ms": 0.0}
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -14,7 +14,7 @@
 NS_PER_S = 1_000_000_000
 
 
-class NoCompiler(Exception):
+class NoCompilerError(Exception):
     """There is no C compiler to build the shim with."""
 
 
@@ -29,10 +29,10 @@
 
 
 def build_shim(folder: Path) -> Path:
-    """Compile the shim into a folder; raises `NoCompiler`."""
+    """Compile the shim into a folder; raises `NoCompilerError`."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
-        raise NoCompiler("no C compiler found (cc, gcc): faults of clocks and system calls are left out")
+        raise NoCompilerError("no C compiler found (cc, gcc): faults of clocks and system calls are left out")
     library = folder / "shim.so"
     subprocess.run(
         [compiler, "-shared", "-fPIC", "-O1", "-Wall", "-o", str(library), str(SOURCE), "-ldl"],
@@ -62,5 +62,5 @@
         return value
 
     def environment(self, library: Path) -> dict[str, str]:
-        """What a node's environment needs for it."""
+        """The environment variables that make a node use the shim."""
         return {"LD_PRELOAD": str(library), "SOAK_SHIM": str(self.path)}
--- a/soak/shrink.py
+++ b/soak/shrink.py
@@ -3,47 +3,57 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from soak.schedule import Fault, Schedule
 
 
-def shrink(schedule: Schedule, breaks: Callable[[Schedule], bool], most_plays: int) -> tuple[Schedule, int]:
+def shrink(
+    schedule: Schedule, breaks_rule: Callable[[Schedule], bool], max_plays: int
+) -> tuple[Schedule, int]:
     """The smallest schedule found that still breaks a rule, and how many plays it took.
 
-    Delta debugging: ever smaller parts are left out as long as what remains still breaks one.
+    Delta debugging: ever smaller parts are removed as long as what remains still breaks one.
     """
     faults = list(schedule.faults)
-    plays, part = 0, max(1, len(faults) // 2)
-    while faults and plays < most_plays:
-        cut = _cut_once(schedule, faults, part, breaks, most_plays - plays)
-        plays += cut.plays
-        if cut.faults is not None:
-            faults = cut.faults
-            part = min(part, max(1, len(faults) // 2))
-        elif part == 1:
+    plays = 0
+    part_size = max(1, len(faults) // 2)
+    while faults and plays < max_plays:
+        reduction = _remove_part(schedule, faults, part_size, breaks_rule, max_plays=max_plays - plays)
+        plays += reduction.plays
+        if reduction.faults is not None:
+            faults = reduction.faults
+            part_size = min(part_size, max(1, len(faults) // 2))
+        elif part_size == 1:
             break
         else:
-            part = part // 2
+            part_size = part_size // 2
     return replace(schedule, faults=tuple(faults)), plays
 
 
-class _Cut:
-    """What one round of leaving parts out came to."""
+@dataclass(frozen=True, slots=True)
+class _Reduction:
+    """What one round of removing parts came to."""
 
-    def __init__(self, faults: list[Fault] | None, plays: int) -> None:
-        self.faults, self.plays = faults, plays
+    faults: list[Fault] | None  # that remain; None: no part can be removed
+    plays: int
 
 
-def _cut_once(
-    schedule: Schedule, faults: list[Fault], part: int, breaks: Callable[[Schedule], bool], most_plays: int
-) -> _Cut:
+def _remove_part(
+    schedule: Schedule,
+    faults: list[Fault],
+    part_size: int,
+    breaks_rule: Callable[[Schedule], bool],
+    *,
+    max_plays: int,
+) -> _Reduction:
+    """Remove the first part without which a rule still breaks."""
     plays = 0
-    for start in range(0, len(faults), part):
-        if plays >= most_plays:
+    for start in range(0, len(faults), part_size):
+        if plays >= max_plays:
             break
-        kept = faults[:start] + faults[start + part :]
+        remaining = faults[:start] + faults[start + part_size :]
         plays += 1
-        if breaks(replace(schedule, faults=tuple(kept))):
-            return _Cut(kept, plays)
-    return _Cut(None, plays)
+        if breaks_rule(replace(schedule, faults=tuple(remaining))):
+            return _Reduction(remaining, plays)
+    return _Reduction(None, plays)
--- a/standins/listener.py
+++ b/standins/listener.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from abc import ABC, abstractmethod
 
 from standins.sockets import HOST, reset
@@ -41,7 +42,8 @@
         finally:
             self.closed_connections += 1
             self._writers.discard(writer)
-            writer.close()
+            with contextlib.suppress(ConnectionError):
+                writer.close()
 
     def close_connections(self) -> None:
         """Close every connection in order."""
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its oracle finds what is broken, and its parts do what they say."""
+"""The soak: its oracle finds nodes that are broken on purpose, and its parts do what they say."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 import pytest
 
 from soak.clients import NodeView
-from soak.node_process import NodeProcess
+from soak.node_process import Launch, NodeProcess
 from soak.oracle import Oracle
-from soak.schedule import BadSchedule, Fault, FaultKind, Schedule, draw, read_schedule
+from soak.schedule import Fault, FaultKind, Schedule, ScheduleError, draw, read_schedule
 from soak.shrink import shrink
 from tests.broken_nodes import BROKEN_NODES, ROOT, BrokenNode
 
@@ -25,7 +25,12 @@
 
 def soak(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "soak", *arguments], cwd=ROOT, capture_output=True, text=True, timeout=120
+        [sys.executable, "-m", "soak", *arguments],
+        check=False,  # the exit status is what tests look at
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
     )
 
 
@@ -100,7 +105,7 @@
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"faults": [{"kind": "nonsense"}]}'])
 def test_what_is_no_schedule_is_refused(text: str) -> None:
-    with pytest.raises(BadSchedule):
+    with pytest.raises(ScheduleError):
         read_schedule(text)
 
 
@@ -119,27 +124,30 @@
 def test_a_node_that_ends_as_it_is_killed_is_no_crash(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seed 501: the process had just ended when its time was over, and the kill raised."""
+    """The process had just ended when its time was over, and the kill raised."""
 
     class Ending:
         returncode: int | None = None
 
+        def __init__(self) -> None:
+            self._ended = asyncio.Event()
+
         def send_signal(self, number: int) -> None:
             pass
 
         def kill(self) -> None:
             self.returncode = 0
+            self._ended.set()
             raise ProcessLookupError
 
-        async def wait(self) -> int:
-            while self.returncode is None:
-                await asyncio.sleep(0.01)
+        async def wait(self) -> int | None:
+            await self._ended.wait()
             return self.returncode
 
     async def test() -> None:
         monkeypatch.setattr("soak.node_process.KILL_AFTER_TERM_S", 0.05)
         oracle = Oracle(asyncio.get_running_loop().time, tuple, 50.0)
-        node = NodeProcess(oracle, NodeView(0, ("127.0.0.1", 1)), [], 1, tmp_path, tmp_path, None)
+        node = NodeProcess(oracle, NodeView(0, ("127.0.0.1", 1)), [], Launch(1, tmp_path, tmp_path, None))
         node._process = Ending()  # type: ignore[assignment]
         await node.stop()
         assert not oracle.violations
