--- a/soak/oracle.py
+++ b/soak/oracle.py
@@ -35,9 +35,8 @@
         self._now_s = now_s
         self._active_faults = active_faults
         self.slack_s = 0.0
-        self.pause_allowance_s = (
-            0.0  # by which a fault holds nodes up between reading their clock and writing
-        )
+        # By which a fault holds nodes up between reading their clock and writing.
+        self.pause_allowance_s = 0.0
         self.violations: list[Violation] = []
         self.requests: dict[str, RequestRecord] = {}
         self.answers: defaultdict[int, int] = defaultdict(int)  # by status
@@ -49,7 +48,8 @@
         request = self.requests.get(request_id)
         if request is not None:
             age_s = self._now_s() - request.sent_at_s
-            detail += f" (node {request.node}, {request.class_name}, {request.budget_s:.3f} s, sent {age_s:.3f} s ago)"
+            sent = f"{request.budget_s:.3f} s, sent {age_s:.3f} s ago"
+            detail += f" (node {request.node}, {request.class_name}, {sent})"
         self.violations.append(Violation(rule, request_id, self._now_s(), detail, self._active_faults()))
 
     # Discovery
