--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,21 +1,24 @@
-"""What holds for all tests."""
+"""Fixtures and hooks for all tests."""
 
 from __future__ import annotations
 
 import pytest
 
 from tests.known_red import KnownRedError, load_known_failures
-from workspond.upstream import connection_pool as upstream
+from workspond.upstream import connection_pool
 
 
 @pytest.fixture(autouse=True)
 def connections_reusable_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Which connection a request gets must not hang on how fast the test runs; the delay has tests."""
-    monkeypatch.setattr(upstream, "REUSE_DELAY_MS", 0.0)
+    """Let a connection be used again without delay; tests of the delay set it themselves.
+
+    Which connection a request gets would depend on how fast the test runs otherwise.
+    """
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let exactly the tests that KNOWN-RED.txt lists fail; one of them that passes is an error."""
+    """Expect exactly the tests that KNOWN-RED.txt lists to fail; one of them that passes is an error."""
     try:
         listed = {failure.test: failure for failure in load_known_failures()}
     except KnownRedError as problem:
@@ -26,6 +29,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Name what is let fail, so that no run hides it."""
+    """Print the tests that are expected to fail, so that no run hides them."""
     for failure in load_known_failures():
         terminalreporter.write_line(f"KNOWN-RED: {failure.test}: {failure.cause}")
