--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,6 @@
 """Command line of the bench: `python -m bench decisions` and `python -m bench calls`.
 
-Prints one JSON line a figure, and a table on standard error; exits with 2 if asked for what it can't do.
+Prints one JSON line a figure, and a table on standard error; exits with 2 if the options can't be met.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 def run_decisions(options: argparse.Namespace) -> None:
-    """Time the module in every case asked for; microseconds.
+    """Time the module in every case of the options; microseconds.
 
     Raises:
         RootError: The checkout's decision module can't be measured.
@@ -66,7 +66,7 @@
 
 
 def run_calls(options: argparse.Namespace) -> None:
-    """Measure a real node with every number of servers asked for, in turn.
+    """Measure a real node with every number of servers of the options, in turn.
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
--- a/bench/calls.py
+++ b/bench/calls.py
@@ -29,7 +29,7 @@
 
 DEADLINE_MS = 1000.0
 WARM_UP_S = 2.0
-MAX_FAILED_FRACTION = 0.01  # of the calls; more, and the figures tell nothing
+MAX_FAILED_FRACTION = 0.01  # of the calls; more, and the figures mean nothing
 MAX_MEDIAN_LATE_S = 0.02  # by which this process may be late
 DESCRIPTORS = 2048  # of the node
 BYTES_PER_KB = 1024.0
@@ -125,7 +125,7 @@
 
 
 def _figures(fleet: Fleet, client: SteadyClient, usage: NodeUsage, list_bytes: int) -> Figures:
-    """The figures of a run; raises `FleetError` where they tell nothing."""
+    """The figures of a run; raises `FleetError` where they mean nothing."""
     calls = len(client.elapsed_s)
     late_s = sorted(client.late_s)
     if client.failed > MAX_FAILED_FRACTION * calls:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -115,7 +115,7 @@
         self._balancer.handle(self._update(UpdateKind.COMPLETE, range(case.servers)), self._now_ms)
 
     def cost(self) -> Cost:
-        """Play the case; half as many requests again come first and are not timed."""
+        """Play the case; half as many requests come before and are not timed."""
         for _ in range(self._case.calls // 2):
             self._play_request()
         self._stopwatches = _stopwatches()
--- a/bench/node_process.py
+++ b/bench/node_process.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from standins.checkout import node_command
-from standins.messages import read_head, render_head
+from standins.readiness import is_ready
 from standins.sockets import HOST
 
 READY_TIMEOUT_S = 20.0
@@ -63,21 +63,12 @@
     while time.monotonic() < deadline_s:
         if process.returncode is not None:
             raise FleetError(f"the node ended with status {process.returncode}")
-        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            if await _is_ready(port):
-                return
+        if await is_ready(HOST, port):
+            return
         await asyncio.sleep(READY_POLL_S)
     raise FleetError(f"the node was not ready within {READY_TIMEOUT_S:.0f} s")
 
 
-async def _is_ready(port: int) -> bool:
-    reader, writer = await asyncio.open_connection(HOST, port)
-    writer.write(render_head("GET", "/-/ready", {"Host": "b"}))
-    head = await read_head(reader)
-    writer.close()
-    return head.startswith(b"HTTP/1.1 200")
-
-
 def processor_time_s(pid: int) -> float:
     """The processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,7 +1,7 @@
 """Command line of the soak: `python -m soak --seed N --seconds S --nodes M`.
 
 Prints the schedule, one JSON line for each broken rule and one at the end; exits with 1 if any rule broke,
-with 2 if it can't be played as asked.
+with 2 if it can't be played as requested.
 """
 
 from __future__ import annotations
--- a/soak/node_process.py
+++ b/soak/node_process.py
@@ -21,8 +21,8 @@
 from soak.settings import DEADLINE_S, DESCRIPTORS, node_settings
 from soak.shim import ShimControl
 from standins.checkout import node_command
-from standins.messages import render_head
 from standins.node_config import node_config
+from standins.readiness import is_ready
 
 READY_TIMEOUT_S = 10.0  # from a start to the first 200 of /-/ready
 READY_POLL_S = 0.05
@@ -149,22 +149,12 @@
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
                 while True:
-                    if await self._is_ready():
+                    if await is_ready(*self.view.address):
                         return
                     await asyncio.sleep(READY_POLL_S)
         except TimeoutError:
             self._report_crash(f"not ready within {READY_TIMEOUT_S:.0f} s")
 
-    async def _is_ready(self) -> bool:
-        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            reader, writer = await asyncio.open_connection(*self.view.address)
-            try:
-                writer.write(render_head("GET", "/-/ready", {}))
-                return (await reader.readuntil(b"\r\n")).split()[1] == b"200"
-            finally:
-                writer.close()
-        return False
-
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -212,7 +212,7 @@
                 await self._proxy.wait_until_released()
                 is_answered = answers.count >= self._requests
                 if is_answered and self._loop.time() > answered_at_s + SECOND_ANSWER_WITHIN_S:
-                    continue  # an answer that nobody asked for comes some milliseconds late, not later
+                    continue  # an unsolicited answer comes some milliseconds late, not later
                 await self._write_to_node(data)
                 answered_at_s = self._loop.time()
                 self._end_attempt()
--- a/soak/run.py
+++ b/soak/run.py
@@ -123,7 +123,7 @@
         task.add_done_callback(self._task_done)
 
     def _task_done(self, task: asyncio.Task[object]) -> None:
-        """Keep what went wrong in the soak itself: its run tells nothing then."""
+        """Keep what went wrong in the soak itself: its run proves nothing then."""
         self._tasks.discard(task)
         if not task.cancelled() and (problem := task.exception()) is not None:
             self._problems.append(problem)
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -20,7 +20,7 @@
     NODE_KILL = "node_kill"  # SIGKILL, and a new process
     NODE_PAUSE = "node_pause"  # SIGSTOP and SIGCONT: the process is held up
     NODE_RELOAD = "node_reload"  # SIGHUP with another address of discovery
-    NODE_RELOADS = "node_reloads"  # SIGHUP again and again
+    NODE_RELOADS = "node_reloads"  # SIGHUP repeatedly
     NODE_BAD_RELOAD = "node_bad_reload"  # SIGHUP with a file that can't be used
     # What the shim does to a node's system calls
     CLOCK_STEP = "clock_step"  # the wall clock is stepped forward, or back
--- a/soak/shrink.py
+++ b/soak/shrink.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reduction:
-    """What one round of removing parts came to."""
+    """The result of one round of removing parts."""
 
     faults: list[Fault] | None  # that remain; None: no part can be removed
     plays: int
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -233,7 +233,7 @@
     """Start-up settings; a dictionary among the changes is merged into the part of that name."""
     env: dict[str, Any] = json.loads(json.dumps(ENV))
     env["permissions"]["connect_timeout_ms"] = 5000.0
-    env["rules"]["ask_every_ms"] = 200.0  # asks again soon after a failure
+    env["rules"]["ask_every_ms"] = 200.0  # discovery is called soon after a failure
     env["tenants"] = []
     for cls in env["classes"]:
         cls |= {"objective_ms": 500.0, "give_up_ms": 20_000.0, "dedup_scope": "cell"}
