--- /dev/null
+++ b/soak/clients.py
@@ -0,0 +1,182 @@
+"""Stand-ins for clients that wait for their answers, and what these share with faulty ones."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from soak.oracle import ANSWER_GRACE_S, TIME_SLACK_S, Oracle
+from soak.settings import CLASSES, DEADLINE_S, READ, RequestClass
+from standins.messages import Response, read_response, render_request
+
+# After the last moment for an answer: one that is later still is reported as late, not as missing.
+LATE_ANSWER_S = 1.0
+BUDGETS_S = (0.2, DEADLINE_S)
+TINY_BUDGETS_S = (0.001, 0.04)
+TINY_BUDGET_FRACTION = 0.03
+PATIENCE_S = (0.001, 0.1)  # of clients that disconnect early
+EARLY_DISCONNECT_FRACTION = 0.5  # of the requests of clients that do so
+RECONNECT_INTERVAL_S = 0.05
+LARGE_BODY_BYTES = 20_000
+LARGE_BODY_FRACTION = 0.05
+SMALL_BODY_BYTES = 20
+NO_ANSWER_ERRORS = (TimeoutError, asyncio.IncompleteReadError, ConnectionError)
+
+
+@dataclass(slots=True)
+class NodeView:
+    """What clients know of their node."""
+
+    number: int
+    address: tuple[str, int]
+    accepts_connections: bool = True  # not ended, or ending for too long
+    killed_at_s: float = -1.0  # when its process was last killed outright
+
+
+@dataclass(frozen=True, slots=True)
+class DrawnRequest:
+    """A request that a client is about to send."""
+
+    request_id: str
+    request_class: RequestClass
+    budget_s: float
+    data: bytes
+
+
+async def read_answer(reader: asyncio.StreamReader, limit_s: float) -> Response:
+    """Read the next answer; raises one of `NO_ANSWER_ERRORS` where there is none."""
+    # asyncio.wait_for may swallow a cancellation that comes as the answer does.
+    async with asyncio.timeout(limit_s):
+        return await read_response(reader)
+
+
+class Client:
+    """What all clients share: requests, connections, and the check whether the node was killed."""
+
+    def __init__(self, oracle: Oracle, node: NodeView, rng: random.Random, new_id: Callable[[], str]) -> None:
+        self._oracle = oracle
+        self._node = node
+        self._rng = rng
+        self._new_id = new_id
+        self._loop = asyncio.get_running_loop()
+
+    async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Connect to the node, as soon as it accepts connections."""
+        while True:
+            if self._node.accepts_connections:
+                with contextlib.suppress(OSError):
+                    return await asyncio.open_connection(*self._node.address)
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
+
+    def _draw_request(self) -> DrawnRequest:
+        request_id = self._new_id()
+        [request_class] = self._rng.choices(CLASSES, [each.traffic_fraction for each in CLASSES])
+        is_tiny = self._rng.random() < TINY_BUDGET_FRACTION
+        budget_s = round(self._rng.uniform(*(TINY_BUDGETS_S if is_tiny else BUDGETS_S)), 3)
+        body = self._draw_body(request_class)
+        data = render_request(request_id, request_class.name, f"{budget_s:.3f}", body, host="soak")
+        return DrawnRequest(request_id, request_class, budget_s, data)
+
+    def _draw_body(self, request_class: RequestClass) -> bytes:
+        if request_class is READ:
+            return b""
+        is_large = self._rng.random() < LARGE_BODY_FRACTION
+        return b"y" * (LARGE_BODY_BYTES if is_large else SMALL_BODY_BYTES)
+
+    def _record_sent(self, request: DrawnRequest, budget_s: float) -> None:
+        class_name = request.request_class.name
+        self._oracle.request_sent(request.request_id, class_name, self._node.number, budget_s)
+
+    def _was_killed_since_sent(self, request: DrawnRequest) -> bool:
+        """Whether the node was killed with a request: its answer is nobody's fault then."""
+        sent_at_s = self._oracle.requests[request.request_id].sent_at_s
+        return self._node.killed_at_s >= sent_at_s - TIME_SLACK_S
+
+
+class PatientClient(Client):
+    """Sends one request at a time and waits for each answer; keeps its connection."""
+
+    disconnects_early = False  # set while the fault lasts
+
+    async def run(self, mean_gap_s: float) -> None:
+        """Send request after request, with a mean gap between an answer and the next request."""
+        while True:
+            reader, writer = await self._connect()
+            try:
+                await self._use_connection(reader, writer, mean_gap_s)
+            finally:
+                writer.close()
+
+    async def _use_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, mean_gap_s: float
+    ) -> None:
+        """Use a connection as long as it stays open."""
+        is_first = True
+        while True:
+            await asyncio.sleep(self._rng.expovariate(1.0 / mean_gap_s))
+            if reader.at_eof() or writer.is_closing():
+                return
+            request = self._draw_request()
+            writer.write(request.data)
+            self._record_sent(request, request.budget_s)
+            if self.disconnects_early and self._rng.random() < EARLY_DISCONNECT_FRACTION:
+                await self._disconnect(request, writer)
+                return
+            if not await self._receive_answer(request, reader, is_first_request=is_first):
+                return
+            is_first = False
+
+    async def _disconnect(self, request: DrawnRequest, writer: asyncio.StreamWriter) -> None:
+        """Close while a request is in flight."""
+        await asyncio.sleep(self._rng.uniform(*PATIENCE_S))
+        writer.close()
+        self._oracle.client_disconnected(request.request_id)
+
+    async def _receive_answer(
+        self, request: DrawnRequest, reader: asyncio.StreamReader, *, is_first_request: bool
+    ) -> bool:
+        """Read the answer to a request; whether the connection may be used on."""
+        limit_s = request.budget_s + ANSWER_GRACE_S + LATE_ANSWER_S + self._oracle.slack_s
+        try:
+            response = await read_answer(reader, limit_s)
+        except TimeoutError:
+            self._report_unanswered(request, "no answer, on a connection that stays open")
+            return False
+        except (asyncio.IncompleteReadError, ConnectionError) as problem:
+            await self._connection_closed(request, problem, is_first_request=is_first_request)
+            return False
+        self._oracle.answered(request.request_id, response.status, response.body)
+        return True
+
+    async def _connection_closed(
+        self, request: DrawnRequest, problem: Exception, *, is_first_request: bool
+    ) -> None:
+        """The connection ended without an answer: on a used one it may have crossed the request."""
+        may_have_crossed = not is_first_request and not self._oracle.was_forwarded(request.request_id)
+        error: Exception | None = problem
+        if may_have_crossed and not self._was_killed_since_sent(request):
+            error = await self._resend(request)
+        if error is not None:
+            self._report_unanswered(request, f"closed without an answer: {error!r:.60}")
+
+    async def _resend(self, request: DrawnRequest) -> Exception | None:
+        """Send a request on a new connection; why there is no answer, if there is none."""
+        reader, writer = await self._connect()
+        try:
+            writer.write(request.data)
+            self._oracle.request_resent(request.request_id)
+            response = await read_answer(reader, DEADLINE_S + LATE_ANSWER_S)
+        except NO_ANSWER_ERRORS as problem:
+            return problem
+        finally:
+            writer.close()
+        self._oracle.answered(request.request_id, response.status, response.body)
+        return None
+
+    def _report_unanswered(self, request: DrawnRequest, why: str) -> None:
+        if not self._was_killed_since_sent(request):
+            self._oracle.unanswered(request.request_id, why)
+        self._oracle.client_disconnected(request.request_id)
--- /dev/null
+++ b/soak/node_process.py
@@ -0,0 +1,231 @@
+"""The nodes: real processes of the program, their configuration files and signals."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import math
+import os
+import signal
+from collections.abc import Coroutine
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from soak.clients import NodeView
+from soak.discovery import Agent
+from soak.node_log import NodeLog
+from soak.oracle import Oracle
+from soak.records import Rule
+from soak.settings import DEADLINE_S, DESCRIPTORS, node_settings
+from soak.shim import ShimControl
+from standins.checkout import node_command
+from standins.node_config import node_config
+from standins.readiness import is_ready
+
+READY_TIMEOUT_S = 10.0  # from a start to the first 200 of /-/ready
+READY_POLL_S = 0.05
+ACCEPT_AFTER_TERM_S = 0.3  # for which connections still come after SIGTERM
+KILL_AFTER_TERM_S = DEADLINE_S + 0.7
+FIRST_RELOAD_S = 1.0  # from a start to the first SIGHUP at least
+UNUSABLE_CONFIG = '{"name": '
+
+
+@dataclass(frozen=True, slots=True)
+class Launch:
+    """What all nodes of a run are started with.
+
+    Attributes:
+        replicas: How many nodes there are.
+        folder: Holds their files.
+        root: The checkout whose program runs.
+        shim: The shim's library; None without a C compiler.
+    """
+
+    replicas: int
+    folder: Path
+    root: Path
+    shim: Path | None
+
+
+class NodeProcess:
+    """One node, over all its processes."""
+
+    def __init__(self, oracle: Oracle, view: NodeView, agents: list[Agent], launch: Launch) -> None:
+        self.view = view
+        self.agents = agents
+        self.restarting = asyncio.Lock()
+        self.log = NodeLog(launch.folder / f"n{view.number}.log")
+        shim_path = launch.folder / f"n{view.number}.shim"
+        self.shim = ShimControl(shim_path) if launch.shim is not None else None
+        self._oracle = oracle
+        self._launch = launch
+        self._config_path = launch.folder / f"n{view.number}.json"
+        self._agent_index = 0  # of the agent that the configuration names
+        self._process: asyncio.subprocess.Process | None = None
+        self._expects_end = False
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._reloadable_from_s = math.inf  # from when on the process may be sent SIGHUP
+
+    # Configuration
+
+    def _config(self) -> dict[str, Any]:
+        host, port = self.view.address
+        agent = self.agents[self._agent_index]
+        return node_config(
+            f"n{self.view.number}",
+            listen=f"{host}:{port}",
+            discovery=agent.address,
+            seed=os.urandom(8).hex(),
+            limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS},
+            known=agent.complete_list(),
+            settings=node_settings(self._launch.replicas, self.view.number),
+        )
+
+    def _write_config(self, text: str) -> None:
+        """Replace the configuration file in one step."""
+        partial = self._config_path.with_suffix(".new")
+        partial.write_text(text)
+        partial.replace(self._config_path)
+
+    def _write_good_config(self) -> None:
+        self._write_config(json.dumps(self._config()))
+
+    def reload(self, *, move: bool) -> None:
+        """Load a new configuration, which names the same agent or, with `move`, another one."""
+        if move:
+            self._agent_index = (self._agent_index + 1) % len(self.agents)
+        self._write_good_config()
+        self._signal_reload()
+
+    def reload_badly(self) -> None:
+        """Load a configuration that can't be used; a good one lies there afterwards."""
+        self._write_config(UNUSABLE_CONFIG)
+        self._signal_reload()
+        self._write_good_config()
+
+    def _signal_reload(self) -> None:
+        """Send SIGHUP, which the platform does not send to a process that is not up."""
+        if asyncio.get_running_loop().time() >= self._reloadable_from_s:
+            self.signal(signal.SIGHUP)
+
+    # Start
+
+    async def start(self) -> None:
+        """Start a process and wait until it is ready; one that is not in time is reported."""
+        began_s = asyncio.get_running_loop().time()
+        self._reloadable_from_s = math.inf
+        self._write_good_config()
+        self._oracle.node_restarted(self.view.number)
+        self._expects_end = False
+        self._process = await self._start_process()
+        if self._process.stderr is not None:
+            self._spawn(self.log.copy_from(self._process.stderr))
+        self._spawn(self._watch(self._process))
+        await self._wait_until_ready()
+        self.view.accepts_connections = True
+        self._reloadable_from_s = max(asyncio.get_running_loop().time(), began_s + FIRST_RELOAD_S)
+
+    async def _start_process(self) -> asyncio.subprocess.Process:
+        # Half of the nodes log to a pipe, which may stand still, half to a file, which may fail.
+        is_piped = self.view.number % 2 == 0
+        with self.log.path.open("ab") as log:
+            return await asyncio.create_subprocess_exec(
+                *node_command(self._launch.root),
+                cwd=self._launch.root,
+                env=self._environment(),
+                stdout=asyncio.subprocess.DEVNULL,
+                stderr=asyncio.subprocess.PIPE if is_piped else log,
+            )
+
+    def _environment(self) -> dict[str, str]:
+        environment = dict(os.environ, NODE_CONFIG=str(self._config_path))
+        if self.shim is not None and self._launch.shim is not None:
+            environment |= self.shim.environment(self._launch.shim)
+        return environment
+
+    async def _wait_until_ready(self) -> None:
+        try:
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                while True:
+                    if await is_ready(*self.view.address):
+                        return
+                    await asyncio.sleep(READY_POLL_S)
+        except TimeoutError:
+            self._report_crash(f"not ready within {READY_TIMEOUT_S:.0f} s")
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    # End
+
+    async def _watch(self, process: asyncio.subprocess.Process) -> None:
+        """Report a process that ends unasked."""
+        status = await process.wait()
+        if process is self._process and not self._expects_end:
+            self._report_crash(f"ended with status {status}")
+            self._stop_connections()
+
+    def _report_crash(self, what: str) -> None:
+        last_line = self.log.last_line()
+        ending = "" if last_line is None else f"; its log ends with: {last_line}"
+        self._oracle.report(Rule.CRASH, f"n{self.view.number}", what + ending)
+
+    def _stop_connections(self) -> None:
+        """Clients connect no more."""
+        self.view.accepts_connections = False
+
+    def _running_process(self) -> asyncio.subprocess.Process | None:
+        process = self._process
+        return process if process is not None and process.returncode is None else None
+
+    def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process, if there is one."""
+        process = self._running_process()
+        if process is not None:
+            process.send_signal(number)
+
+    async def stop(self) -> None:
+        """End the process as the platform does: SIGTERM, later SIGKILL."""
+        process = self._running_process()
+        if process is None:
+            return
+        self._expects_end = True
+        process.send_signal(signal.SIGTERM)
+        asyncio.get_running_loop().call_later(ACCEPT_AFTER_TERM_S, self._stop_connections)
+        try:
+            async with asyncio.timeout(KILL_AFTER_TERM_S + self._oracle.slack_s):
+                await process.wait()
+        except TimeoutError:
+            # Requests in flight that came in time are lost; their clients report them.
+            with contextlib.suppress(ProcessLookupError):  # it has just ended by itself
+                process.kill()
+            await process.wait()
+        self._stop_connections()
+        if process.returncode not in (0, -signal.SIGKILL):
+            self._report_crash(f"ended with status {process.returncode}")
+
+    async def kill(self) -> None:
+        """End the process outright: the requests in flight are nobody's fault."""
+        process = self._running_process()
+        if process is None:
+            return
+        self._expects_end = True
+        self._stop_connections()
+        self.view.killed_at_s = asyncio.get_running_loop().time()
+        process.kill()
+        await process.wait()
+        self.view.killed_at_s = asyncio.get_running_loop().time()
+
+    async def end(self) -> None:
+        """End the node for good, and whatever goes with it."""
+        self._expects_end = True
+        process = self._running_process()
+        if process is not None:
+            process.kill()
+            await process.wait()
+        for task in list(self._tasks):
+            task.cancel()
