--- a/workspond/clock.py
+++ b/workspond/clock.py
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """The node's clock: monotonic, in milliseconds."""
+    """Return the current moment in milliseconds, on a monotonic clock that starts anywhere."""
     return time.monotonic() * 1000.0
--- a/workspond/config.py
+++ b/workspond/config.py
@@ -1,7 +1,4 @@
-"""What a node is told at its start: NODE_CONFIG's JSON as typed values.
-
-Lists of servers have the same form here and at discovery, so they are read here for both.
-"""
+"""The node's configuration: the JSON file that NODE_CONFIG names, as typed values."""
 
 from __future__ import annotations
 
@@ -11,10 +8,13 @@
 
 from workspond.address import Address, parse_address
 from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list
-from workspond.json_fields import MalformedInputError, get, optional
+from workspond.json_fields import Json, MalformedInputError, get, optional
 from workspond.policy.settings import Settings
 from workspond.settings_reader import read_settings
 
+DEFAULT_MAX_DESCRIPTORS = 1024  # where the file sets no limit
+HEX_DIGITS = re.compile("[0-9a-fA-F]+")
+
 
 class InvalidConfigError(Exception):
     """A configuration that no node can be started with."""
@@ -26,7 +26,17 @@
 
 @dataclass(slots=True)
 class Config:
-    """All that a node knows when it starts."""
+    """The configuration that a node starts with.
+
+    Attributes:
+        name: The node's name, for its log.
+        listen: Where the node accepts clients.
+        discovery: Where the discovery agent is called.
+        seed: The seed of the node's random numbers.
+        max_descriptors: How many file descriptors the node may hold.
+        cached_endpoints: The endpoint list as the node last had it, perhaps long ago.
+        settings: The settings of the load-balancing policy.
+    """
 
     name: str
     listen: Address
@@ -37,36 +47,52 @@
     settings: Settings
 
 
-def hex_digits(text: str) -> int:
-    """A number written in hex digits and nothing else."""
-    if not re.fullmatch("[0-9a-fA-F]+", text):
-        raise MalformedInputError(f"'seed' must be hex digits, not {text!r:.60}")
-    return int(text, 16)
+def read_config(path: str) -> Config:
+    """Read the configuration file.
+
+    Raises:
+        UnreadableConfigError: If the file can't be opened or read now.
+        InvalidConfigError: If its contents are no configuration; the text is one line that says why.
+    """
+    try:
+        return _read_fields(_load_object(path))
+    except (MalformedInputError, ValueError) as error:
+        raise InvalidConfigError(f"{path}: {error}") from None
 
 
-def read_config(path: str) -> Config:
-    """Read the file; `BadConfig` says in one line what is wrong with it."""
+def _load_object(path: str) -> Json:
     try:
         with open(path, encoding="utf-8") as file:
-            obj = json.load(file)
-    except OSError as problem:
-        raise UnreadableConfigError(f"can't read the configuration: {problem}") from None
-    except (ValueError, RecursionError) as problem:
-        raise InvalidConfigError(f"{path}: not JSON: {problem!s:.100}") from None
-    if not isinstance(obj, dict):
+            value = json.load(file)
+    except OSError as error:
+        raise UnreadableConfigError(f"can't read the configuration: {error}") from None
+    except (ValueError, RecursionError) as error:
+        raise InvalidConfigError(f"{path}: not JSON: {error!s:.100}") from None
+    if not isinstance(value, dict):
         raise InvalidConfigError(f"{path}: must be an object")
-    try:
-        limits = optional(obj, "limits", dict, {})
-        return Config(
-            name=get(obj, "name", str),
-            listen=parse_address(get(obj, "listen", str)),
-            discovery=parse_address(get(obj, "discovery", str)),
-            seed=hex_digits(get(obj, "seed", str)),
-            max_descriptors=optional(limits, "sockets", int, 1024),
-            cached_endpoints=read_endpoint_list(
-                optional(obj, "known", dict, {"index": 0, "snapshot": True, "endpoints": []})
-            ),
-            settings=read_settings(get(obj, "settings", dict)),
-        )
-    except (MalformedInputError, ValueError) as problem:
-        raise InvalidConfigError(f"{path}: {problem}") from None
+    return value
+
+
+def _read_fields(fields: Json) -> Config:
+    limits = optional(fields, "limits", dict, {})
+    return Config(
+        name=get(fields, "name", str),
+        listen=parse_address(get(fields, "listen", str)),
+        discovery=parse_address(get(fields, "discovery", str)),
+        seed=_read_seed(fields),
+        max_descriptors=optional(limits, "sockets", int, DEFAULT_MAX_DESCRIPTORS),
+        cached_endpoints=_read_cached_endpoints(fields),
+        settings=read_settings(get(fields, "settings", dict)),
+    )
+
+
+def _read_seed(fields: Json) -> int:
+    text = get(fields, "seed", str)
+    if not HEX_DIGITS.fullmatch(text):
+        raise MalformedInputError(f"'seed' must be hex digits, not {text!r:.60}")
+    return int(text, 16)
+
+
+def _read_cached_endpoints(fields: Json) -> EndpointList:
+    empty_list: Json = {"index": 0, "snapshot": True, "endpoints": []}
+    return read_endpoint_list(optional(fields, "known", dict, empty_list))
