--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -153,7 +153,7 @@
     error: int, tries: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Found by the soak: a node that restarted while descriptors ran short ended with status 2."""
-    monkeypatch.setattr("workspond.__main__.LISTEN_EVERY_S", 0.01)
+    monkeypatch.setattr("workspond.__main__.LISTEN_RETRY_INTERVAL_S", 0.01)
     calls = []
 
     def fail(real: Callable[..., Listener], *args: Any) -> Listener:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -668,7 +668,7 @@
             line = await asyncio.wait_for(program.process.stderr.readline(), LIMIT_S)
             assert line, "ended before it was ready"
             if b"started" in line:
-                scene.address = parse_address(line.decode().split()[-1])
+                scene.address = parse_address(line.decode().rpartition("listen=")[2].strip())
                 return program
 
     async def refuses(self) -> None:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -42,7 +42,7 @@
                     assert process.stderr is not None
                     while b"started" not in (line := await process.stderr.readline()):
                         assert line, "ended before it was ready"
-                    where = parse_address(line.decode().split()[-1])
+                    where = parse_address(line.decode().rpartition("listen=")[2].strip())
                     caller = Caller(*await asyncio.open_connection(*where))
                     while (await caller.ask_path("/-/ready")).status != 200:
                         await asyncio.sleep(0.02)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -57,9 +57,9 @@
                 whole.replace(scene.path)  # for the reload
                 process.send_signal(number)
                 file.write(text)
-            _, errors = await read_until(process, b"configuration read again")
+            _, errors = await read_until(process, b"configuration reloaded")
             if number is signal.SIGHUP:
-                assert b"configuration read again" in errors
+                assert b"configuration reloaded" in errors
                 process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
 
