--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -98,7 +98,7 @@
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             listener = scene.node.frontend._listener
             assert listener is not None
             failing = FailingSocket(listener._socket, error, error)
@@ -169,7 +169,7 @@
             if tries > 1:
                 scene.address = await listen(scene.node, ("127.0.0.1", 0))
                 scene.node.start()
-                await until(lambda: scene.node is not None and bool(scene.node._in_service))
+                await until(lambda: scene.node is not None and scene.node.is_ready())
                 assert (await scene.ask("a")).status == 200
             else:
                 with pytest.raises(OSError, match="forced"):
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
-from workspond import node
+from workspond import graceful_shutdown
 from workspond.downstream import connection_states as stages
 from workspond.downstream import frontend
 from workspond.downstream.client_connection import ClientConnection
@@ -111,10 +111,10 @@
                 await slow_reader(scene, leaver)
                 leaver.sendall(request("a") + request("b"))
                 await until(lambda: len(server.seen) == 2)
-                assert scene.node is not None and len(scene.node._live) == 1
+                assert scene.node is not None and len(scene.node._requests.active) == 1
                 leaver.shutdown(socket.SHUT_WR)
                 async with asyncio.timeout(5.0):  # its budget is 20 s
-                    await until(lambda: scene.node is not None and not scene.node._live)
+                    await until(lambda: scene.node is not None and not scene.node._requests.active)
                 assert callers(scene) == 1  # what was written has not been read yet
 
     run(test())
@@ -154,7 +154,7 @@
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             with socket.socket() as caller:
                 caller.settimeout(LIMIT_S)
                 await asyncio.to_thread(caller.connect, scene.address)
@@ -179,7 +179,7 @@
     async def test() -> None:
         async with world(tmp_path, Server(), sockets=64, tier=1) as scene:  # 35 callers at most
             assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             askers, silent = [], []
             for n in range(3):
                 askers.append(socket.create_connection(scene.address, LIMIT_S))
@@ -214,8 +214,8 @@
 ) -> None:
     for stage in stages.LIMITS_S:
         monkeypatch.setitem(stages.LIMITS_S, stage, 1000.0)
-    monkeypatch.setattr(node, "LONGEST_MS", 300.0)
-    monkeypatch.setattr(node, "LAST_MS", 100.0)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_MS", 300.0)
+    monkeypatch.setattr(graceful_shutdown, "DRAIN_BEFORE_LAST_ANSWER_MS", 100.0)
 
     async def test() -> None:
         server = Server()
@@ -282,7 +282,7 @@
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             with socket.create_connection(scene.address) as caller:  # the loop has no turn till the await
                 caller.settimeout(LIMIT_S)
                 caller.sendall(request("a"))
@@ -303,7 +303,7 @@
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             with socket.socket() as caller:
                 caller.settimeout(LIMIT_S)
                 await asyncio.to_thread(caller.connect, scene.address)
@@ -323,14 +323,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its budget may reach past the kill: what that finds open is lost."""
-    monkeypatch.setattr(node, "LONGEST_MS", 300.0)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_MS", 300.0)
 
     async def test() -> None:
         async with world(tmp_path, Server(usual=HANG)) as scene:
             assert scene.node is not None
             before, during = await scene.caller(), await scene.caller()
             before.write(request("a", "pay", budget="20"))
-            await until(lambda: scene.node is not None and bool(scene.node._live))
+            await until(lambda: scene.node is not None and bool(scene.node._requests.active))
             stopping = asyncio.ensure_future(scene.node.stop(0.0))
             await asyncio.sleep(0)
             assert (await during.ask("b", "pay", budget="20")).status in (502, 504)
@@ -352,13 +352,13 @@
             await until(lambda: len(server.seen) == 1)
             gone.writer.close()
             assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._live)
+            await until(lambda: scene.node is not None and not scene.node._requests.active)
             again = await scene.caller()
             again.write(request("a"))
             await until(lambda: len(server.seen) == 2)
             server.gate.set()
             assert (await again.read()).body == b"new"
-            await until(lambda: scene.node is not None and not scene.node._attempts)
+            await until(lambda: scene.node is not None and not scene.node._attempts.in_flight)
             balancer = scene.node._balancer
             assert balancer.in_flight == 0
             assert all(not s.in_flight for s in balancer.fleet.servers.values())
@@ -380,8 +380,10 @@
                 scene.callers.pop().writer.close()
             await until(lambda: callers(scene) == 0)
             own, module = scene.node, scene.node._balancer
-            assert not own._live and not own._open_ids and not own._attempts and not own._events
-            assert len(own._addresses) == len(own._in_service) == len(module.fleet.servers) == 1
+            assert not own._requests.active and not own._requests.open_request_ids
+            assert not own._attempts.in_flight and not own._policy.pending_count()
+            assert len(own._endpoints.addresses) == len(own._endpoints.in_service) == 1
+            assert len(module.fleet.servers) == 1
             assert not module._calls and not module._waiting and not any(module._queue._queues.values())
             assert len(module.retry_policy._taken._times) + len(module.retry_policy._further._times) <= 2
             assert own._upstream.connection_count() <= 1 and sum(map(len, own._upstream._idle.values())) <= 1
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -35,7 +35,7 @@
     """The share of its capacity that each server is taken to have, by its name."""
     assert scene.node is not None
     module = scene.node._balancer
-    names = {scene.node._addresses[id]: id for id in module.fleet.servers}
+    names = {scene.node._endpoints.addresses[id]: id for id in module.fleet.servers}
     by_name = {
         server.name: names["127.0.0.1", int(server.address.rpartition(":")[2])] for server in scene.servers
     }
--- a/tests/test_close_framed.py
+++ b/tests/test_close_framed.py
@@ -60,7 +60,7 @@
             async with world(tmp_path, known=False) as scene:
                 scene.registry.whole = [entry]
                 caller = await scene.caller()
-                await until(lambda: scene.node is not None and bool(scene.node._in_service))
+                await until(lambda: scene.node is not None and scene.node.is_ready())
                 caller.write(request("a", "pay"))
                 connection, _ = await asyncio.to_thread(listener.accept)
                 await asyncio.to_thread(connection.recv, 65536)
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -31,7 +31,7 @@
             async with world(tmp_path, known=False) as scene:
                 entry = {"name": "slow", "address": f"127.0.0.1:{slow.getsockname()[1]}", "status": "active"}
                 scene.registry.whole = [entry]
-                await until(lambda: scene.node is not None and bool(scene.node._in_service))
+                await until(lambda: scene.node is not None and scene.node.is_ready())
                 caller = await scene.caller()
                 sent_s = time.monotonic()
                 caller.write(request("late", budget=str(BUDGET_S)))
@@ -81,7 +81,7 @@
         server = Server()
         async with world(tmp_path, server) as scene:
             assert scene.node is not None
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             listener = scene.node.frontend._listener
             assert listener is not None
             if held_up_by == "a shortage of descriptors":
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -42,7 +42,7 @@
     """A caller's socket that the node has accepted and that does nothing by itself."""
     node = scene.node
     assert node is not None
-    await until(lambda: bool(node._in_service))
+    await until(node.is_ready)
     before = node.frontend.connection_count()
     caller = socket.create_connection(scene.address, LIMIT_S)
     await until(lambda: node.frontend.connection_count() == before + 1)
@@ -59,7 +59,7 @@
     """Wait until the node holds nothing any more."""
     node = scene.node
     assert node is not None
-    await until(lambda: not node._live and not node._attempts and not node._balancer._calls)
+    await until(lambda: not (node._requests.active or node._attempts.in_flight or node._balancer._calls))
 
 
 @leaving
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -73,7 +73,7 @@
         server = Server(name="moves")
         async with world(tmp_path, server, known=False) as scene:
             scene.registry.whole = [server.entry(address=slow.address)]
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             caller = await scene.caller()
             caller.write(request("a", "pay"))
             await dialling(scene)
@@ -99,7 +99,7 @@
             assert scene.node is not None
             scene.node._balancer.classes["save"].deduplication_window_ms = window_s * 1000.0
             scene.registry.whole = [first.entry()]
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
             caller = await scene.caller()
             began_s = time.monotonic()
             first.gate.clear()
@@ -126,7 +126,7 @@
     async def test() -> None:
         async with world(tmp_path, known=False) as scene:
             scene.registry.whole = [{"name": "slow", "address": slow.address, "status": "active"}]
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             assert scene.node is not None
             caller = await scene.caller()
             caller.write(request("a", budget="1.1"))
--- a/tests/test_listing_reader.py
+++ b/tests/test_listing_reader.py
@@ -140,7 +140,9 @@
                 assert (await scene.ask(f"a{n}")).status == 200
             scene.registry.tell(servers[0].entry(), snapshot=True)
             node = scene.node
-            await until(lambda: len(node._addresses) == 1 and len(node._balancer.fleet.servers) == 1)
+            await until(
+                lambda: len(node._endpoints.addresses) == 1 and len(node._balancer.fleet.servers) == 1
+            )
             await asyncio.sleep(0.02)
             before = len(servers[1].seen)
             for n in range(4):
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -83,7 +83,7 @@
             os.set_blocking(reader, False)
             text = b""
             async with asyncio.timeout(10.0):
-                while b"request after" not in text:
+                while b"request=after " not in text:
                     with contextlib.suppress(BlockingIOError):
                         text += os.read(reader, size)
                     await asyncio.sleep(0.01)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -232,7 +232,7 @@
             scene.registry.tell()
             scene.registry.tell()
             scene.registry.tell(news.entry())
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 2)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 2)
             await news.stop()
 
     run(test())
@@ -275,7 +275,7 @@
             scene.registry.whole = [new.entry()]
             caller, other = await scene.caller(), await scene.caller()
             caller.write(request("a"))
-            await until(lambda: scene.node is not None and len(scene.node._live) == 1)
+            await until(lambda: scene.node is not None and len(scene.node._requests.active) == 1)
             assert (await other.ask_path("/-/ready")).status == 500
             scene.registry.gate.set()
             assert (await caller.read()).status == 200
@@ -293,7 +293,7 @@
         await new.start()
         async with world(tmp_path, old) as scene:
             scene.registry.spoil = [silence] * 3
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
             assert (await scene.ask("a")).status == 200
             assert [seen.id for seen in old.seen] == ["a"]
             scene.registry.whole = [new.entry()]
@@ -363,7 +363,7 @@
             await until(lambda: len(server.seen) == 1)
             caller.writer.close()
             assert scene.node is not None
-            await until(lambda: not scene.node or not scene.node._live)
+            await until(lambda: not scene.node or not scene.node._requests.active)
             server.gate.set()
             assert (await scene.ask("a")).status == 200  # its id is free again
             assert [seen.id for seen in server.seen] == ["a", "a"]  # and nobody retried for it
@@ -404,14 +404,14 @@
                 entry = {"name": "slow", "address": f"127.0.0.1:{slow.getsockname()[1]}", "status": "active"}
                 scene.registry.whole = [entry]
                 caller = await scene.caller()
-                await until(lambda: scene.node is not None and bool(scene.node._in_service))
+                await until(lambda: scene.node is not None and scene.node.is_ready())
                 caller.write(request("a"))
                 await until(lambda: dials(scene) == 1)
                 caller.writer.close()
-                await until(lambda: scene.node is not None and not scene.node._live)
+                await until(lambda: scene.node is not None and not scene.node._requests.active)
                 accepted, _ = await asyncio.to_thread(slow.accept)
                 second, _ = await asyncio.to_thread(slow.accept)
-                await until(lambda: scene.node is not None and not scene.node._attempts)
+                await until(lambda: scene.node is not None and not scene.node._attempts.in_flight)
                 second.setblocking(False)
                 with pytest.raises(BlockingIOError):
                     second.recv(1)
@@ -430,9 +430,9 @@
             caller.write(request("a") + request("b"))
             await until(lambda: len(server.seen) == 1)
             caller.writer.close()
-            await until(lambda: scene.node is not None and not scene.node._live)
+            await until(lambda: scene.node is not None and not scene.node._requests.active)
             server.gate.set()
-            await until(lambda: scene.node is not None and not scene.node._attempts)
+            await until(lambda: scene.node is not None and not scene.node._attempts.in_flight)
             assert (await scene.ask("c")).status == 200
             assert [seen.id for seen in server.seen] == ["a", "c"]
 
@@ -497,8 +497,9 @@
 
     run(test())
     [line] = [text for text in caplog.messages if text.startswith("request ")]
-    assert line.startswith("request bad pay answered 502 after ")
-    assert "ERROR at 127.0.0.1:" in line and line.count(";") == 0
+    assert line.startswith("request failed: request=bad class=pay status=502 after_ms=")
+    assert " in_flight=0: attempt=0 endpoint=127.0.0.1:" in line
+    assert " outcome=ERROR " in line and line.count(";") == 0
 
 
 class Dry(TokenBucket):
@@ -514,7 +515,7 @@
     async def test() -> None:
         async with world(tmp_path, Server(usual=answer(500))) as scene:
             assert scene.node is not None
-            scene.node._traces = Dry(2.0, 0.0)
+            scene.node._requests._tracer._budget = Dry(2.0, 0.0)
             for n in range(5):
                 await scene.ask(f"{n}", "pay")
 
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -59,7 +59,8 @@
             assert error.status == (408 if tail == HALF else 400) and error.headers["connection"] == "close"
             assert await caller.closed()
             assert time.monotonic() - began_s < 3.0
-            assert scene.node is not None and not scene.node._live and not scene.node._open_ids
+            assert scene.node is not None and not scene.node._requests.active
+            assert not scene.node._requests.open_request_ids
             server.gate.set()
 
     run(test())
@@ -111,7 +112,7 @@
             server.gate.set()
             assert scene.node is not None
             await until(lambda: scene.node is not None and scene.node.frontend.connection_count() == 0)
-            assert not scene.node._live and not scene.node._open_ids
+            assert not scene.node._requests.active and not scene.node._requests.open_request_ids
             assert len(server.seen) <= 2
 
     run(test())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -124,9 +124,9 @@
             assert scene.node is not None
             node, (host, _, port) = scene.node, source.address.rpartition(":")
             source.whole = [server.entry(), new.entry()]
-            await until(lambda: len(node._in_service) == 1)
+            await until(lambda: len(node._endpoints.in_service) == 1)
             began_s = time.monotonic()
-            while len(node._in_service) == 1:
+            while len(node._endpoints.in_service) == 1:
                 assert time.monotonic() - began_s < 5 * SLOW_S
                 node.reconfigure(dataclasses.replace(node._config, discovery=(host, int(port))))
                 await asyncio.sleep(RELOAD_EVERY_S)
--- a/tests/test_slow_lists.py
+++ b/tests/test_slow_lists.py
@@ -59,7 +59,7 @@
             source.whole = [server.entry()]
             scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
             await scene.begin()
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             assert source.connections == 1
         await source.stop()
 
@@ -77,7 +77,7 @@
             scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
             await scene.begin()
             await until(lambda: source.watches() > 0)
-            assert scene.node is not None and scene.node._in_service
+            assert scene.node is not None and scene.node._endpoints.in_service
         await source.stop()
 
     run(test())
@@ -131,9 +131,9 @@
             source.whole = [server.entry()]
             scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
             await scene.begin()
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
             source.tell(new.entry())
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 2)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 2)
             assert source.connections <= 8
         await new.stop()
         await source.stop()
@@ -161,7 +161,7 @@
             scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
             await scene.begin()
             await until(lambda: source.watches() > 0)
-            assert scene.node is not None and scene.node._in_service
+            assert scene.node is not None and scene.node._endpoints.in_service
         await source.stop()
 
     run(test())
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -35,7 +35,7 @@
 
 def test_the_longest_sum_of_waits_is_within_the_time_after_which_news_counts_as_told() -> None:
     """It was 8.75 s with three silent calls in a row, where lists are asked for."""
-    pushed_ms, asked_ms = node.PUSHED_RETRY_S * 1000.0, ASK_LONGEST_MS
+    pushed_ms, asked_ms = node.RESUBSCRIBE_DELAY_S * 1000.0, ASK_LONGEST_MS
     assert discovery.FAILURES_BORNE >= 3
     for pause_ms in (pushed_ms, asked_ms):
         assert discovery.longest_news_ms(pause_ms) < TOLD_MS - 200.0
@@ -171,7 +171,7 @@
             monkeypatch.setattr(held._listener, "watch_failed", note)
             source._news.append(new.entry())  # discovery has it from here on
             source.end_calls()  # the watch that is out breaks: the first failure, before those named
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
             assert len(failures) == len(ways) + 1, failures
         await new.stop()
 
--- /dev/null
+++ b/workspond/attempt_runner.py
@@ -0,0 +1,194 @@
+"""Makes the attempts that the policy decides on, and reports how they ended."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from workspond.active_request import ActiveRequest
+from workspond.address import Address
+from workspond.clock import now_ms
+from workspond.endpoint_table import EndpointTable
+from workspond.http.response import Response
+from workspond.observability.attempt_record import BlockedAttempt, EndedAttempt
+from workspond.observability.counters import CountedEvent, EventCounters
+from workspond.policy.actions import SendAttempt
+from workspond.policy.events import AttemptEnded, Outcome
+from workspond.policy_runner import PolicyRunner
+from workspond.request_registry import DEADLINE_MARGIN_MS, RequestRegistry
+from workspond.upstream.attempt import Attempt, ServerResponse
+from workspond.upstream.connection_pool import ConnectionPool
+from workspond.upstream.request_writer import render_request
+from workspond.upstream.send_guard import SendGuard, SendRefusal
+
+
+@dataclass(slots=True, eq=False, kw_only=True)
+class OutgoingAttempt:
+    """One attempt of a request, as the connection pool's `AttemptHandler`.
+
+    Attributes:
+        runner: Hears of the attempt's end.
+        request: The request.
+        number: The attempt's number within its request, from 0.
+        server_id: The server that it goes to.
+        address: The server's address.
+        started_at_ms: When the attempt was begun.
+        timeout_at_ms: When it is given up.
+        send_until_ms: The last moment to write it at.
+        is_written: Whether it has been given to a connection.
+    """
+
+    runner: AttemptRunner
+    request: ActiveRequest
+    number: int
+    server_id: int
+    address: Address
+    started_at_ms: float
+    timeout_at_ms: float
+    send_until_ms: float
+    is_written: bool = False
+
+    def may_send(self) -> bool:
+        """Return whether the request may still be written, now that there is a connection."""
+        return self.runner.may_send(self)
+
+    def render_request(self) -> bytes:
+        """Return the request's bytes, with the time that is left now, and note that they are written."""
+        self.is_written = True
+        self.request.history.record_write()
+        timeout_ms = max(0.0, self.timeout_at_ms - now_ms())
+        return render_request(self.request.message, self.address, timeout_ms)
+
+    def attempt_ended(self, outcome: Outcome, response: ServerResponse | None) -> None:
+        """Report how the attempt ended."""
+        self.runner.attempt_ended(self, outcome, response)
+
+
+class AttemptRunner:
+    """Sends attempts through the send guard and the connection pool.
+
+    Attributes:
+        in_flight: The attempts that have not ended, by the request's key and the attempt's number.
+    """
+
+    def __init__(
+        self,
+        *,
+        requests: RequestRegistry,
+        endpoints: EndpointTable,
+        pool: ConnectionPool,
+        guard: SendGuard,
+        policy: PolicyRunner,
+        counters: EventCounters,
+    ) -> None:
+        self._requests = requests
+        self._endpoints = endpoints
+        self._pool = pool
+        self._guard = guard
+        self._policy = policy
+        self._counters = counters
+        self.in_flight: dict[tuple[str, int], Attempt] = {}
+
+    def send(self, action: SendAttempt) -> None:
+        """Begin an attempt; one that must not be written ends at once as `NOT_SENT`."""
+        now = now_ms()
+        request = self._requests.active.get(action.request_id)
+        address = self._endpoints.addresses.get(action.server_id)
+        send_until_ms = now + action.send_within_ms
+        refusal = self._check(request, action.server_id, address, send_until_ms)
+        if request is None or address is None or refusal is not None:
+            self._report_not_sent(action, request)
+            return
+        # Limited to what is left: an outcome must come before the answer is due.
+        left_ms = request.deadline_at_ms - DEADLINE_MARGIN_MS - now
+        timeout_ms = max(0.0, min(action.timeout_ms, left_ms))
+        outgoing = OutgoingAttempt(
+            runner=self,
+            request=request,
+            number=request.attempts_started,
+            server_id=action.server_id,
+            address=address,
+            started_at_ms=now,
+            timeout_at_ms=now + timeout_ms,
+            send_until_ms=send_until_ms,
+        )
+        self._begin(outgoing, timeout_ms, new_connection=action.new_connection)
+
+    def _begin(self, outgoing: OutgoingAttempt, timeout_ms: float, *, new_connection: bool) -> None:
+        outgoing.request.attempts_started += 1
+        attempt = self._pool.send(
+            outgoing.server_id, outgoing.address, outgoing, timeout_ms, new_connection=new_connection
+        )
+        if not attempt.is_over:
+            self.in_flight[outgoing.request.key, outgoing.number] = attempt
+
+    def _report_not_sent(self, action: SendAttempt, request: ActiveRequest | None) -> None:
+        number = request.attempts_started if request is not None else 0
+        request_finished = action.request_id not in self._requests.active
+        self._policy.handle(
+            AttemptEnded(action.request_id, number, action.server_id, Outcome.NOT_SENT, 0.0, request_finished)
+        )
+
+    def cancel(self, request_key: str, number: int) -> None:
+        """Cancel an attempt, if it is in flight."""
+        attempt = self.in_flight.get((request_key, number))
+        if attempt is not None:
+            attempt.abort(Outcome.CANCELLED)
+
+    def may_send(self, outgoing: OutgoingAttempt) -> bool:
+        """Return whether an attempt may still be written, now that its connection has been established."""
+        refusal = self._check(outgoing.request, outgoing.server_id, outgoing.address, outgoing.send_until_ms)
+        return refusal is None
+
+    def attempt_ended(
+        self, outgoing: OutgoingAttempt, outcome: Outcome, response: ServerResponse | None
+    ) -> None:
+        """Take the outcome of an attempt, and answer its request if the attempt succeeded."""
+        request = outgoing.request
+        self.in_flight.pop((request.key, outgoing.number), None)
+        if outgoing.is_written:
+            request.history.record_end(self._guard.may_have_run(outcome))
+        self._counters.increment(CountedEvent.ATTEMPT_ENDED, outcome.name)
+        duration_ms = now_ms() - outgoing.started_at_ms
+        _record_end(outgoing, outcome, duration_ms)
+        if outcome is Outcome.SUCCESS and response is not None:
+            self._requests.finish(request.key, Response(200, response.body, response.content_type))
+        self._policy.handle(
+            AttemptEnded(
+                request.key,
+                outgoing.number,
+                outgoing.server_id,
+                outcome,
+                duration_ms,
+                request_finished=request.key not in self._requests.active,
+                load_report=response.load_report if response is not None else None,
+            )
+        )
+
+    def _check(
+        self, request: ActiveRequest | None, server_id: int, address: Address | None, send_until_ms: float
+    ) -> SendRefusal | None:
+        """Return why an attempt must not be written now, None if it may.
+
+        It is asked when the attempt is decided, and once more when its connection has been established.
+        """
+        if request is None or request.key not in self._requests.active:
+            return SendRefusal.ANSWERED
+        if request.receiver.has_disconnected():
+            self._requests.abandon(request)
+            return SendRefusal.CALLER_GONE
+        message = request.message
+        refusal = self._guard.check(
+            message.request_id, message.class_name, request.history, server_id, address, send_until_ms
+        )
+        if refusal is not None:
+            self._counters.increment(CountedEvent.ATTEMPT_BLOCKED, refusal.value)
+            request.records.append(BlockedAttempt(refusal.value))
+        return refusal
+
+
+def _record_end(outgoing: OutgoingAttempt, outcome: Outcome, duration_ms: float) -> None:
+    """Note the outcome for the log line of a request that ends badly."""
+    request = outgoing.request
+    request.attempts_ended += 1
+    start_ms = outgoing.started_at_ms - request.received_at_ms
+    request.records.append(EndedAttempt(outgoing.number, outgoing.address, outcome, start_ms, duration_ms))
--- /dev/null
+++ b/workspond/observability/request_trace.py
@@ -0,0 +1,47 @@
+"""Log lines that trace a request that ended badly, from its arrival on, with every attempt."""
+
+from __future__ import annotations
+
+import logging
+
+from workspond.active_request import ActiveRequest
+from workspond.clock import now_ms
+from workspond.policy.token_bucket import TokenBucket
+
+MAX_TRACES_PER_S = 20.0  # so that overload does not spend CPU on its log
+REJECTED_STATUS = 503
+
+log = logging.getLogger("workspond")
+
+
+class RequestTracer:
+    """Writes the traces, `MAX_TRACES_PER_S` at most."""
+
+    def __init__(self) -> None:
+        self._budget = TokenBucket(MAX_TRACES_PER_S, now_ms())
+
+    def log_failure(self, request: ActiveRequest, status: int) -> None:
+        """Trace a request that was answered with an error."""
+        event = "rejected" if status == REJECTED_STATUS else "failed"
+        self._write(request, event, f"status={status}")
+
+    def log_abandoned(self, request: ActiveRequest, reason: str) -> None:
+        """Trace a request that nobody waits for any more."""
+        self._write(request, "abandoned", f'reason="{reason}"')
+
+    def _write(self, request: ActiveRequest, event: str, cause: str) -> None:
+        now = now_ms()
+        if not self._budget.try_take(MAX_TRACES_PER_S / 1000.0, MAX_TRACES_PER_S, now):
+            return
+        message = request.message
+        log.info(
+            "request %s: request=%s class=%s %s after_ms=%.1f budget_ms=%.1f in_flight=%d: %s",
+            event,
+            message.request_id,
+            message.class_name,
+            cause,
+            now - request.received_at_ms,
+            message.budget_ms,
+            request.attempts_started - request.attempts_ended,
+            "; ".join(map(str, request.records)) or "no attempt ended",
+        )
--- /dev/null
+++ b/workspond/request_registry.py
@@ -0,0 +1,146 @@
+"""The requests that are owed an answer: each gets exactly one, at the latest from a timer at its deadline."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+
+from workspond.active_request import ActiveRequest
+from workspond.clock import now_ms
+from workspond.downstream.client_connection import ResponseReceiver
+from workspond.http.request import ClientRequest, InvalidRequestError
+from workspond.http.response import Response
+from workspond.observability.counters import CountedEvent, EventCounters
+from workspond.observability.request_trace import RequestTracer
+from workspond.policy.events import RequestAbandoned, RequestReceived
+from workspond.policy_runner import PolicyRunner
+
+# Of a request's budget: the budget ran before the request was read, and the answer takes its time.
+DEADLINE_MARGIN_MS = 10.0
+# By how much a deadline timer that fired early is set beyond the deadline.
+TIMER_SLACK_S = 0.001
+CLIENT_DISCONNECTED = "left by its caller"
+
+log = logging.getLogger("workspond")
+
+
+class RequestRegistry:
+    """Keeps the active requests from their acceptance to their answer.
+
+    Requests have keys of the node's own, a serial number, and the policy hears of these alone: an attempt may
+    outlast its request, and a client that used an id again would mix up the state of the two requests.
+
+    Attributes:
+        active: The active requests by key.
+        open_request_ids: The clients' ids of these.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        policy: PolicyRunner,
+        counters: EventCounters,
+        tracer: RequestTracer,
+    ) -> None:
+        self._loop = loop
+        self._policy = policy
+        self._counters = counters
+        self._tracer = tracer
+        self.active: dict[str, ActiveRequest] = {}
+        self.open_request_ids: set[str] = set()
+        self._last_serial = 0
+        self._latest_deadline_at_ms = math.inf
+
+    def accept(self, message: ClientRequest, receiver: ResponseReceiver) -> ActiveRequest:
+        """Accept a request; from now on its client is owed exactly one answer.
+
+        Raises:
+            InvalidRequestError: If a request with this id is open.
+        """
+        if message.request_id in self.open_request_ids:
+            raise InvalidRequestError("a request with this X-Call-Id is open")
+        now = now_ms()
+        request = self._register(message, receiver)
+        ttl_ms = max(0.0, request.deadline_at_ms - now - DEADLINE_MARGIN_MS)
+        self._policy.handle(
+            RequestReceived(request.key, message.class_name, ttl_ms, message.tenant, message.is_client_retry)
+        )
+        return request
+
+    def _register(self, message: ClientRequest, receiver: ResponseReceiver) -> ActiveRequest:
+        self._last_serial += 1
+        deadline_at_ms = min(message.received_at_ms + message.budget_ms, self._latest_deadline_at_ms)
+        request = ActiveRequest(self, str(self._last_serial), message, receiver, deadline_at_ms)
+        self.active[request.key] = request
+        self.open_request_ids.add(message.request_id)
+        self._set_deadline_timer(request)
+        return request
+
+    def finish(self, key: str, response: Response) -> None:
+        """Answer a request, unless it has been answered or abandoned."""
+        request = self.active.get(key)
+        if request is None or not self._remove(request):
+            return
+        self._counters.increment(CountedEvent.REQUEST_ANSWERED, str(response.status))
+        if response.status != 200:
+            self._tracer.log_failure(request, response.status)
+        request.receiver.send_response(response)
+
+    def abandon(self, request: ActiveRequest, reason: str = CLIENT_DISCONNECTED) -> None:
+        """End a request that nobody waits for any more."""
+        if not self._remove(request):
+            return
+        self._counters.increment(CountedEvent.REQUEST_ABANDONED, reason)
+        self._tracer.log_abandoned(request, reason)
+        self._policy.handle(RequestAbandoned(request.key))
+
+    def limit_deadlines(self, latest_at_ms: float) -> None:
+        """Have all requests answered by a moment, also those that are accepted later."""
+        self._latest_deadline_at_ms = latest_at_ms
+        for request in self.active.values():
+            if request.deadline_at_ms > latest_at_ms:
+                request.deadline_at_ms = latest_at_ms
+                self._set_deadline_timer(request)
+
+    def _remove(self, request: ActiveRequest) -> bool:
+        """Remove a request; True if it was active, so that the caller has its one answer to give."""
+        if self.active.pop(request.key, None) is None:
+            return False
+        self.open_request_ids.discard(request.message.request_id)
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        return True
+
+    def _set_deadline_timer(self, request: ActiveRequest) -> None:
+        """Set the timer for the request's deadline as it is now."""
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        left_s = max(0.0, request.deadline_at_ms - now_ms()) / 1000.0
+        request.deadline_timer = self._loop.call_later(left_s, self._deadline_timer_fired, request)
+
+    def _deadline_timer_fired(self, request: ActiveRequest) -> None:
+        left_ms = request.deadline_at_ms - now_ms()
+        if left_ms > 0.0:  # the loop's clock may run ahead: failing early would break a promise
+            request.deadline_timer = self._loop.call_later(
+                left_ms / 1000.0 + TIMER_SLACK_S, self._deadline_timer_fired, request
+            )
+        else:
+            self._fail_at_deadline(request)
+
+    def _fail_at_deadline(self, request: ActiveRequest) -> None:
+        """Fail a request that the policy has not ended by its deadline, whatever the reason."""
+        if not self._remove(request):
+            return
+        response = Response(504, b"no answer in time")
+        message = request.message
+        log.warning(
+            "request not ended by its deadline: request=%s class=%s status=%d",
+            message.request_id,
+            message.class_name,
+            response.status,
+        )
+        self._counters.increment(CountedEvent.REQUEST_ANSWERED, str(response.status))
+        self._tracer.log_failure(request, response.status)
+        request.receiver.send_response(response)
+        self._policy.handle(RequestAbandoned(request.key))
