--- a/workspond/observability/__init__.py
+++ b/workspond/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see: the log, counters and traces of requests."""
+"""Observability: the log, counters of events, and traces of requests that end badly."""
