--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.peers import LIMIT_S, Registry, Server, request, run, until, world
-from tests.test_node import Program
+from tests.program import Program
 from workspond.__main__ import listen
 from workspond.config import read_config
 from workspond.downstream.listener import Listener
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.peers import HANG, Caller, Registry, Server, request, run, until, world
-from tests.test_node import Program
+from tests.program import Program
 
 TOLD_S = 6.0  # after the return of discovery
 HELD = 4  # callers that have a request out
--- /dev/null
+++ b/tests/test_node_client_input.py
@@ -0,0 +1,132 @@
+"""What clients send: invalid requests, ids that are open, requests in one piece or many."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from tests.peers import (
+    Server,
+    answer,
+    request,
+    run,
+    until,
+    world,
+)
+
+BAD = {
+    "no HTTP": (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
+    "bad version": (b"GET /read HTTP/9\r\n\r\n", 400),
+    "no id": (b"GET /read HTTP/1.1\r\nX-Budget: 1\r\n\r\n", 400),
+    "no budget": (b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n\r\n", 400),
+    "bad budget": (request("q", budget="soon"), 400),
+    "no number": (request("q", budget="nan"), 400),
+    "endless budget": (request("q", budget="inf"), 400),
+    "negative budget": (request("q", budget="-1"), 400),
+    "budget in Python's own form": (request("q", budget="1_0"), 400),
+    "signed budget": (request("q", budget="+1"), 400),
+    "budget of nothing": (request("q", budget="0.0"), 400),
+    "two budgets": (request("q", extra="X-Budget: 2\r\n"), 400),
+    "two ids": (request("q", extra="X-Call-Id: r\r\n"), 400),
+    "odd id": (request("q\xe9"), 400),
+    "id with spaces": (request("q r"), 400),
+    "long id": (request("q" * 129), 400),
+    "long key": (request("q", "pay", extra="Idempotency-Key: " + "k" * 129 + "\r\n"), 400),
+    "key for a class without": (request("q", "pay", extra="Idempotency-Key: k\r\n"), 400),
+    "method of another class": (b"POST /read HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
+    "GET for one that runs once": (b"GET /pay HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
+    "GET with a body": (request("q", body=b"body"), 400),
+    "no path": (b"GET read HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
+    "odd coding": (b"POST /pay HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
+    "chunks in HTTP/1.0": (b"POST /pay HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
+    "chunks and length": (
+        b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
+        400,
+    ),
+    "unknown class": (request("q", "nonsense"), 400),
+    "no class": (request("q", ""), 400),
+    "keyed without a key": (b"POST /save HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
+    "method": (b"PUT /read HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
+    "own path": (b"GET /-/nonsense HTTP/1.1\r\n\r\n", 404),
+    "announced body": (b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nContent-Length: 65537\r\n\r\n", 413),
+    "chunked body": (
+        b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + b"x" * 65537,
+        413,
+    ),
+    "negative length": (b"POST /pay HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
+    "two lengths": (b"POST /pay HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", 400),
+    "length and chunks": (
+        b"POST /pay HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        400,
+    ),
+    "one huge header": (b"GET /read HTTP/1.1\r\nX-Pad: " + b"x" * 100_000, 431),
+    "many headers": (b"GET /read HTTP/1.1\r\n" + b"X-Pad: 1\r\n" * 10_000, 431),
+    "huge target": (b"GET /" + b"x" * 100_000 + b" HTTP/1.1\r\n\r\n", 431),
+}
+
+
+@pytest.mark.parametrize(("data", "status"), BAD.values(), ids=BAD.keys())
+def test_bad_input_is_turned_away_and_disturbs_nobody(data: bytes, status: int, tmp_path: Path) -> None:
+    async def test() -> None:
+        server = Server()
+        server.gate.clear()
+        async with world(tmp_path, server) as scene:
+            other, bad = await scene.caller(), await scene.caller()
+            other.write(request("other"))
+            await until(lambda: len(server.seen) == 1)
+            bad.write(data)
+            assert (await bad.read()).status == status
+            server.gate.set()
+            assert (await other.read()).status == 200
+            assert [seen.id for seen in server.seen] == ["other"]
+
+    run(test())
+
+
+def test_an_id_that_is_open_is_turned_away_without_harm_to_its_owner(tmp_path: Path) -> None:
+    async def test() -> None:
+        server = Server()
+        server.gate.clear()
+        async with world(tmp_path, server) as scene:
+            owner, other = await scene.caller(), await scene.caller()
+            owner.write(request("a"))
+            await until(lambda: len(server.seen) == 1)
+            assert (await other.ask("a")).status == 400
+            other.writer.close()
+            server.gate.set()
+            assert (await owner.read()).status == 200
+
+    run(test())
+
+
+def test_requests_sent_ahead_are_answered_in_order(tmp_path: Path) -> None:
+    async def test() -> None:
+        server = Server(answer(200, b"1"), answer(200, b"2"))
+        async with world(tmp_path, server) as scene:
+            caller = await scene.caller()
+            caller.write(request("a") + request("b"))
+            assert [(await caller.read()).body for _ in range(2)] == [b"1", b"2"]
+
+    run(test())
+
+    run(test())
+
+
+def test_requests_come_in_pieces_and_a_caller_may_ask_for_a_close(tmp_path: Path) -> None:
+    async def test() -> None:
+        server = Server()
+        async with world(tmp_path, server) as scene:
+            caller = await scene.caller()
+            for byte in request("a", "pay", body=b"body"):
+                caller.write(bytes([byte]))
+                await caller.writer.drain()
+                await asyncio.sleep(0)
+            assert (await caller.read()).status == 200
+            assert server.seen[0].body == b"body"
+            reply = await caller.ask("b", extra="Connection: close\r\n")
+            assert (reply.status, reply.headers["connection"]) == (200, "close")
+            assert await caller.closed()
+
+    run(test())
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.peers import LIMIT_S, Caller, Server, run, world
-from tests.test_node import spawn
+from tests.program import spawn
 from workspond.address import parse_address
 
 AT_ONCE = 20  # a tenth of a fleet of 200
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.peers import HANG, LIMIT_S, Registry, Seen, Server, World, request, run, until, world
-from tests.test_node import Program
+from tests.program import Program
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
 
--- /dev/null
+++ b/tests/test_request_trace.py
@@ -0,0 +1,55 @@
+"""The log lines of requests that end badly."""
+
+from __future__ import annotations
+
+import logging
+from pathlib import Path
+
+import pytest
+
+from tests.peers import (
+    Server,
+    answer,
+    run,
+    world,
+)
+from workspond.policy.token_bucket import TokenBucket
+
+
+def test_a_request_that_ends_badly_is_told_in_the_log_with_its_attempts(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    caplog.set_level(logging.INFO, "workspond")
+
+    async def test() -> None:
+        server = Server(answer(), answer(500))
+        async with world(tmp_path, server) as scene:
+            await scene.ask("good", "pay")
+            await scene.ask("bad", "pay")
+
+    run(test())
+    [line] = [text for text in caplog.messages if text.startswith("request ")]
+    assert line.startswith("request failed: request=bad class=pay status=502 after_ms=")
+    assert " in_flight=0: attempt=0 endpoint=127.0.0.1:" in line
+    assert " outcome=ERROR " in line and line.count(";") == 0
+
+
+class Dry(TokenBucket):
+    """Into which nothing comes, however slow the machine."""
+
+    def refill(self, per_ms: float, most: float, now: float) -> float:
+        return self.tokens
+
+
+def test_the_log_of_bad_ends_is_bounded(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level(logging.INFO, "workspond")
+
+    async def test() -> None:
+        async with world(tmp_path, Server(usual=answer(500))) as scene:
+            assert scene.node is not None
+            scene.node._requests._tracer._budget = Dry(2.0, 0.0)
+            for n in range(5):
+                await scene.ask(f"{n}", "pay")
+
+    run(test())
+    assert sum(text.startswith("request ") for text in caplog.messages) == 2
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.peers import LIMIT_S, Server, run, world
-from tests.test_node import Program, spawn
+from tests.program import Program, spawn
 
 STARTS = 5
 EVERY_S = 0.0005
--- /dev/null
+++ b/tests/test_start_and_stop.py
@@ -0,0 +1,88 @@
+"""The program from its start to its end: configurations that can't be used, and SIGTERM."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+from pathlib import Path
+
+import pytest
+
+from tests.peers import (
+    LIMIT_S,
+    Server,
+    request,
+    run,
+    until,
+    world,
+)
+from tests.program import Program, spawn
+
+
+def test_sigterm_finishes_what_is_held_and_exits_0(tmp_path: Path) -> None:
+    async def test() -> None:
+        server = Server()
+        server.gate.clear()
+        async with world(tmp_path, server, start=False) as scene:
+            program = await Program.start(scene)
+            used, held = await scene.caller(), await scene.caller()
+            server.gate.set()
+            assert (await used.ask("before")).status == 200
+            server.gate.clear()
+            held.write(request("held", "pay"))
+            await until(lambda: len(server.seen) == 2)
+            program.process.send_signal(signal.SIGTERM)
+            await program.refuses()
+            server.gate.set()
+            assert (await held.read()).status == 200
+            assert await used.closed() and await held.closed()
+            assert await asyncio.wait_for(program.process.wait(), LIMIT_S) == 0
+
+    run(test())
+
+
+@pytest.mark.parametrize(
+    ("text", "words"),
+    [
+        (None, "NODE_CONFIG"),
+        ("", "No such file"),
+        ("{", "not JSON"),
+        ("[]", "object"),
+        ("{}", "'name' is missing"),
+        ('{"name":"n","listen":"nowhere"}', "nowhere"),
+        ('{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"zz"}', "seed"),
+        ('{"name":"n","listen":"127.0.0.1:\u00b2"}', "no address"),
+        ('{"name":"n","listen":"a\\u0000b:80"}', "no address"),
+        ('{"name":"n","listen":"127.0.0.1:1","discovery":"' + "a" * 64 + '.b:80"}', "no address"),
+        (
+            '{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1'
+            + "0" * 400
+            + "}}",
+            "too large",
+        ),
+    ],
+)
+def test_a_bad_configuration_is_one_line_and_status_2(text: str | None, words: str, tmp_path: Path) -> None:
+    async def test() -> None:
+        path = tmp_path / "config.json"
+        if text:
+            path.write_text(text)
+        process = await spawn(None if text is None else path)
+        _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
+        [line] = errors.decode().splitlines()
+        assert process.returncode == 2 and words in line
+
+    run(test())
+
+
+def test_an_address_in_use_is_one_line_and_status_2(tmp_path: Path) -> None:
+    async def test() -> None:
+        async with world(tmp_path, start=False) as scene:
+            scene.path.write_text(json.dumps(scene.config | {"listen": scene.registry.address}))
+            process = await spawn(scene.path)
+            _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
+            [line] = errors.decode().splitlines()
+            assert process.returncode == 2 and "in use" in line
+
+    run(test())
