--- a/tests/test_event_counts.py
+++ b/tests/test_event_counts.py
@@ -1,4 +1,4 @@
-"""Counts of what happened and why, as the log tells them."""
+"""Counts of what happened and why, as they stand in the log."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def test_a_line_tells_what_is_new_since_the_last() -> None:
-    counts = EventCounters()
-    assert counts.summary() == ""
-    counts.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
-    counts.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
-    counts.increment(CountedEvent.REQUEST_ANSWERED, "200")
-    assert counts.summary() == "attempt_ended[SUCCESS]=2, request_answered[200]=1"
-    counts.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
-    assert counts.summary() == "attempt_ended[SUCCESS]=1" and counts.summary() == ""
+    counters = EventCounters()
+    assert counters.summary() == ""
+    counters.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
+    counters.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
+    counters.increment(CountedEvent.REQUEST_ANSWERED, "200")
+    assert counters.summary() == "attempt_ended[SUCCESS]=2, request_answered[200]=1"
+    counters.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
+    assert counters.summary() == "attempt_ended[SUCCESS]=1" and counters.summary() == ""
 
 
 def test_a_node_that_ends_tells_what_it_did(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
@@ -29,9 +29,9 @@
         async with world(tmp_path, Server(RESET)) as scene:
             assert (await scene.ask("lost", "pay")).status == 502
             assert (await scene.ask("kept", "pay")).status == 200
-            bad = await scene.caller()
-            bad.write(b"noise\r\n\r\n")
-            assert (await bad.read()).status == 400
+            client = await scene.caller()
+            client.write(b"noise\r\n\r\n")
+            assert (await client.read()).status == 400
 
     run(test())
     [line] = [message for message in caplog.messages if message.startswith("counts: ")]
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -20,21 +20,31 @@
 
 
 @pytest.fixture
-def full_pipe() -> Iterator[tuple[int, int]]:
-    """Both ends of a pipe that nobody reads and that holds no byte more."""
+def pipe() -> Iterator[tuple[int, int]]:
+    """The reading end and the writing end of a pipe."""
     reader, writer = os.pipe()
+    yield reader, writer
+    os.close(reader)
+    os.close(writer)
+
+
+@pytest.fixture
+def full_pipe(pipe: tuple[int, int]) -> tuple[int, int]:
+    """Both ends of a pipe that nobody reads and that has no space for another byte."""
+    fill_pipe(pipe[1])
+    return pipe
+
+
+def fill_pipe(writer: int) -> None:
     os.set_blocking(writer, False)
     with contextlib.suppress(BlockingIOError):
         while True:
             os.write(writer, b"x" * 4096)
     os.set_blocking(writer, True)
-    yield reader, writer
-    os.close(reader)
-    os.close(writer)
 
 
 async def start_with(scene: World, stderr: int | None, closed: tuple[int, ...] = ()) -> None:
-    """Start the program with this as its standard error, or these closed; wait until it hears discovery."""
+    """Start the program with standard error or with descriptors closed; wait until it watches discovery."""
     listen = f"127.0.0.1:{free_port()}"
     scene.path.write_text(scene.path.read_text().replace("127.0.0.1:0", listen))
     host, _, port = listen.rpartition(":")
@@ -53,7 +63,7 @@
 
 
 def test_a_node_whose_log_is_not_read_serves(full_pipe: tuple[int, int], tmp_path: Path) -> None:
-    """It blocked in its first line, and was never ready."""
+    """The node blocked in its first line, and was never ready."""
 
     async def test() -> None:
         async with world(tmp_path, Server(), start=False) as scene:
@@ -63,21 +73,19 @@
     run(test())
 
 
-def test_a_log_that_stops_being_read_under_way_holds_nothing_up(tmp_path: Path) -> None:
-    """Nor does it when it is read again: the lines that went missing are counted."""
+def test_a_log_that_stops_being_read_under_way_holds_nothing_up(
+    pipe: tuple[int, int], tmp_path: Path
+) -> None:
+    """Nor does it when it is read again: the dropped lines are counted."""
 
     async def test() -> None:
-        reader, writer = os.pipe()
+        reader, writer = pipe
         async with world(tmp_path, Server(usual=RESET), start=False) as scene:
             await start_with(scene, writer)
             size = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
-            os.set_blocking(writer, False)
-            with contextlib.suppress(BlockingIOError):
-                while True:
-                    os.write(writer, b"x" * 4096)
-            os.set_blocking(writer, True)
+            fill_pipe(writer)
             for n in range(5):
-                assert (await scene.ask(f"{n}", "pay")).status == 502  # each worth a line
+                assert (await scene.ask(f"{n}", "pay")).status == 502  # each writes a line
             os.read(reader, size)
             assert (await scene.ask("after", "pay")).status == 502
             os.set_blocking(reader, False)
@@ -88,8 +96,6 @@
                         text += os.read(reader, size)
                     await asyncio.sleep(0.01)
             assert b"(5 log lines dropped)" in text
-        os.close(reader)
-        os.close(writer)
 
     run(test())
 
@@ -105,15 +111,15 @@
 
 
 def full_socket() -> int:
-    """One end of a pair whose other end nobody reads."""
-    ours, theirs = socket.socketpair()
-    ours.setblocking(False)
+    """One end of a pair of sockets whose other end nobody reads."""
+    writer, reader = socket.socketpair()
+    writer.setblocking(False)
     with contextlib.suppress(BlockingIOError):
         while True:
-            ours.send(b"x" * 4096)
-    ours.setblocking(True)
-    theirs.detach()
-    return ours.detach()
+            writer.send(b"x" * 4096)
+    writer.setblocking(True)
+    reader.detach()
+    return writer.detach()
 
 
 @pytest.mark.parametrize("make", [closed_pipe, full_device, full_socket])
@@ -164,10 +170,8 @@
     run(test())
 
 
-def test_a_record_that_cannot_be_formatted_is_told_as_it_is() -> None:
-    reader, writer = os.pipe()
+def test_a_record_that_cannot_be_formatted_is_told_as_it_is(pipe: tuple[int, int]) -> None:
+    reader, writer = pipe
     handler = LineHandler(LineWriter(writer))
     handler.emit(logging.LogRecord("x", logging.INFO, "", 0, "%d of them", ("none",), None))
     assert b"%d of them" in os.read(reader, 1000)
-    os.close(reader)
-    os.close(writer)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,12 +16,17 @@
 from workspond.policy.events import PolicyEvent, RequestReceived
 
 
+def classes_with(**changes: Any) -> list[dict[str, Any]]:
+    """Return the classes of the settings, all with some fields changed."""
+    return [request_class | changes for request_class in settings()["classes"]]
+
+
 def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [Server(usual=answer(500), name=f"s{n}", group=n % 2) for n in range(4)]
         async with world(tmp_path, *servers) as scene:
-            answers = await asyncio.gather(*(scene.ask(f"{n}", "save") for n in range(8)))
-            assert {seen.status for seen in answers} == {502}
+            responses = await asyncio.gather(*(scene.ask(f"{n}", "save") for n in range(8)))
+            assert {response.status for response in responses} == {502}
         groups: dict[str, list[int]] = {}
         for server in servers:
             for seen in server.seen:
@@ -35,39 +40,35 @@
 def test_a_keyed_request_is_not_sent_again_once_its_window_is_over(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(usual=answer(500))
-        classes: list[dict[str, Any]] = scene_classes(window_ms=20.0)
-        async with world(tmp_path, server, classes=classes) as scene:
+        async with world(tmp_path, server, classes=classes_with(window_ms=20.0)) as scene:
             assert (await scene.ask("a", "save")).status == 502
             assert len(server.seen) == 1
 
     run(test())
 
 
-def scene_classes(**changes: Any) -> list[dict[str, Any]]:
-    return [cls | changes for cls in settings()["classes"]]
-
-
 def test_nothing_goes_to_a_server_that_drains_or_is_gone(tmp_path: Path) -> None:
     async def test() -> None:
-        leaving, left, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
-        async with world(tmp_path, leaving, left, stays) as scene:
+        draining, removed, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
+        async with world(tmp_path, draining, removed, stays) as scene:
             for n in range(6):
                 await scene.ask(f"before-{n}")
-            assert leaving.seen and left.seen
-            scene.registry.tell(leaving.entry(status="leaving"), left.entry(status="left"))
+            assert draining.seen and removed.seen
+            scene.registry.tell(draining.entry(status="leaving"), removed.entry(status="left"))
             await until(lambda: len(scene.registry.seen) == 2)
-            # the next watch is out, so the news has been read; what is idle to one that left is closed
-            await until(lambda: left.lost == left.connections)
-            counts = len(leaving.seen), len(left.seen)
+            # The next watch has begun, so the update has been read.
+            # Idle connections to the removed server are closed.
+            await until(lambda: removed.lost == removed.connections)
+            counts = len(draining.seen), len(removed.seen)
             for n in range(6):
                 await scene.ask(f"after-{n}")
-            assert (len(leaving.seen), len(left.seen)) == counts
+            assert (len(draining.seen), len(removed.seen)) == counts
 
     run(test())
 
 
 def test_a_drain_told_while_the_connection_comes_up_stops_the_send(tmp_path: Path) -> None:
-    """The pick was right, but by the time there is a connection its server may not be sent to."""
+    """The selection was right, but its server drains by the time there is a connection."""
 
     async def test() -> None:
         stays = Server(name="stays")
@@ -77,14 +78,14 @@
             async with world(tmp_path, known=False) as scene:
                 scene.registry.tell(entry, snapshot=True)
                 await until(lambda: scene.registry.watches() == 2)
-                answered = asyncio.ensure_future(scene.ask("a", "pay"))
+                response = asyncio.ensure_future(scene.ask("a", "pay"))
                 node = scene.node
                 assert node is not None
                 await until(lambda: node._upstream.connection_count() == 1)
                 scene.registry.tell(entry | {"status": "leaving"}, stays.entry())
                 await until(lambda: scene.registry.watches() == 3)
                 with await stalled.accept() as connection:
-                    assert (await answered).body == b"done"
+                    assert (await response).body == b"done"
                     assert [seen.id for seen in stays.seen] == ["a"]
                     assert has_received_nothing(connection)
         await stays.stop()
@@ -118,19 +119,26 @@
             requests = [asyncio.create_task(scene.ask(f"at-once-{n}")) for n in range(4)]
             await until(lambda: sum(task.done() for task in requests) == 3)
             await asyncio.sleep(0.2)  # ten times the usual delay: the request that hangs is long overdue
-            before = len(half_dead.seen)
+            count_before = len(half_dead.seen)
             for n in range(10):
                 await scene.ask(f"later-{n}")
-            assert len(half_dead.seen) - before >= 3
+            assert len(half_dead.seen) - count_before >= 3
             assert scene.node is not None and scene.node._balancer.in_flight == 1  # it still hangs
-            half_dead.hang_up()  # and is made good elsewhere, or failed
+            half_dead.hang_up()  # the request is retried elsewhere, or failed
             await asyncio.gather(*requests)
 
     run(test())
 
 
+def stated_budgets_s(servers: list[Server], request_id: str) -> list[float]:
+    """Return the time-outs that the servers were told with the attempts of a request."""
+    return [
+        float(seen.headers["x-budget"]) for server in servers for seen in server.seen if seen.id == request_id
+    ]
+
+
 def test_what_a_silent_connection_swallows_is_sent_again_in_time_to_count(tmp_path: Path) -> None:
-    """A first attempt is waited for some times the usual delay, those after it longer, an unsafe one too."""
+    """A first attempt times out after some times the usual delay, retries and unsafe attempts later."""
 
     async def test() -> None:
         servers = [Server(name="s0"), Server(name="s1")]
@@ -142,12 +150,11 @@
             for server in servers:
                 server.left.append(HANG)
             assert (await scene.ask("a")).status == 200
-            waits = [seen.headers["x-budget"] for server in servers for seen in server.seen if seen.id == "a"]
-            first, second, _ = sorted(map(float, waits))
-            assert first < 0.7 * second
+            first_s, second_s, _ = sorted(stated_budgets_s(servers, "a"))
+            assert first_s < 0.7 * second_s
             await scene.ask("once", "pay")
-            [unsafe] = (s.headers["x-budget"] for server in servers for s in server.seen if s.id == "once")
-            assert float(unsafe) > 1.5 * first
+            [unsafe_s] = stated_budgets_s(servers, "once")
+            assert unsafe_s > 1.5 * first_s
 
     run(test())
 
@@ -155,17 +162,17 @@
 def test_a_deadline_ends_what_the_module_leaves_open(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Whatever goes wrong inside, a request taken gets its one answer, which promises nothing."""
+    """Whatever goes wrong inside, an accepted request gets its one answer, which promises nothing."""
     handle = Balancer.handle
 
-    def broken(self: Balancer, event: PolicyEvent, now_ms: float) -> list[PolicyAction]:
-        if isinstance(event, RequestReceived) and event.request_id == "1":  # the node's own numbers
+    def broken_handle(self: Balancer, event: PolicyEvent, now_ms: float) -> list[PolicyAction]:
+        if isinstance(event, RequestReceived) and event.request_id == "1":  # the node's own keys
             return []
         if isinstance(event, RequestReceived) and event.request_id == "2":
             raise RuntimeError("a fault")
         return handle(self, event, now_ms)
 
-    monkeypatch.setattr(Balancer, "handle", broken)
+    monkeypatch.setattr(Balancer, "handle", broken_handle)
 
     async def test() -> None:
         server = Server()
@@ -181,9 +188,9 @@
     run(test())
 
 
-@pytest.mark.parametrize(("allowed", "advice_s"), [(True, 0.5), (False, None)])
+@pytest.mark.parametrize(("allowed", "retry_after_s"), [(True, 0.5), (False, None)])
 def test_a_request_given_up_on_is_refused_at_once(
-    tmp_path: Path, allowed: bool, advice_s: float | None
+    tmp_path: Path, allowed: bool, retry_after_s: float | None
 ) -> None:
     async def test() -> None:
         server = Server()
@@ -191,8 +198,8 @@
         async with world(tmp_path, server, permissions=permissions) as scene:
             reply = await scene.ask("a", "pay", budget="0.001")  # no time left for an attempt
             assert reply.status == 503 and not server.seen
-            advice = reply.headers.get("retry-after")
-            assert advice_s == (None if advice is None else float(advice))
+            header = reply.headers.get("retry-after")
+            assert retry_after_s == (None if header is None else float(header))
 
     run(test())
 
@@ -202,10 +209,14 @@
         server = Server()
         async with world(tmp_path, server, sockets=29) as scene:
             first = await scene.caller()
-            for n in range(9):  # after 20 answers the module's patience is 8 times a delay of none
-                await scene.caller()  # says nothing: such go before those that have asked
+            for n in range(9):  # 18 responses: from 20 on the time-out would be 8 times a delay of none
+                await (
+                    scene.caller()
+                )  # sends nothing: such connections are closed before those that have sent a request
                 assert (await scene.ask(f"{n}")).status == 200
-                assert (await first.ask(f"first-{n}")).status == 200  # the longest idle go, not the oldest
+                assert (
+                    await first.ask(f"first-{n}")
+                ).status == 200  # the longest idle are closed, not the oldest
                 assert scene.node is not None
                 assert scene.node.frontend.connection_count() <= 15  # of 29
 
--- a/tests/test_node_client_input.py
+++ b/tests/test_node_client_input.py
@@ -9,7 +9,7 @@
 
 from tests.peers import Server, answer, request, run, until, world
 
-BAD = {
+INVALID_REQUESTS = {
     "no HTTP": (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
     "bad version": (b"GET /read HTTP/9\r\n\r\n", 400),
     "no id": (b"GET /read HTTP/1.1\r\nX-Budget: 1\r\n\r\n", 400),
@@ -60,19 +60,19 @@
 }
 
 
-@pytest.mark.parametrize(("data", "status"), BAD.values(), ids=BAD.keys())
+@pytest.mark.parametrize(("data", "status"), INVALID_REQUESTS.values(), ids=INVALID_REQUESTS.keys())
 def test_bad_input_is_turned_away_and_disturbs_nobody(data: bytes, status: int, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            other, bad = await scene.caller(), await scene.caller()
-            other.write(request("other"))
+            valid_client, invalid_client = await scene.caller(), await scene.caller()
+            valid_client.write(request("other"))
             await until(lambda: len(server.seen) == 1)
-            bad.write(data)
-            assert (await bad.read()).status == status
+            invalid_client.write(data)
+            assert (await invalid_client.read()).status == status
             server.gate.set()
-            assert (await other.read()).status == 200
+            assert (await valid_client.read()).status == 200
             assert [seen.id for seen in server.seen] == ["other"]
 
     run(test())
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -10,35 +10,34 @@
 from tests.peers import CLOSE, HANG, Server, answer, request, run, until, world
 from workspond.discovery.endpoint_list import server_id
 
-
-@pytest.mark.parametrize(
-    "spoilt",
-    [
-        CLOSE,
-        answer(503),
-        answer(200, b"{"),
-        answer(200, b"[]"),
-        answer(200, b'{"index":2}'),
-        b"\x00\r\n\r\n",
-        answer(
-            200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'
-        ),
-        answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
-        answer(
-            200,
-            b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1",'
-            b'"status":"active","since_ms":1' + b"0" * 400 + b"}]}",
-        ),
-        answer(200, b"[" * 100_000),
-    ],
-)
-def test_a_failed_watch_is_asked_again_and_the_old_list_stays(spoilt: bytes, tmp_path: Path) -> None:
+UNUSABLE_RESPONSES = [
+    CLOSE,
+    answer(503),
+    answer(200, b"{"),
+    answer(200, b"[]"),
+    answer(200, b'{"index":2}'),
+    b"\x00\r\n\r\n",
+    answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'),
+    answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
+    answer(
+        200,
+        b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1",'
+        b'"status":"active","since_ms":1' + b"0" * 400 + b"}]}",
+    ),
+    answer(200, b"[" * 100_000),
+]
+NOTIFIED_WITHIN_S = 6.0  # after discovery has something new
+READY_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
+
+
+@pytest.mark.parametrize("response", UNUSABLE_RESPONSES)
+def test_a_failed_watch_is_asked_again_and_the_old_list_stays(response: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
         await other.start()
         async with world(tmp_path, server) as scene:
             assert (await scene.ask("a")).status == 200
-            scene.registry.news.put_nowait(spoilt)
+            scene.registry.news.put_nowait(response)
             await until(lambda: len(scene.registry.seen) >= 2)
             assert (await scene.ask("b")).status == 200
             scene.registry.tell(other.entry(), snapshot=True)
@@ -85,34 +84,32 @@
 def test_watches_that_fall_silent_are_opened_anew_before_what_they_miss_counts(
     mode: str, tmp_path: Path
 ) -> None:
-    """r32b5e5: the first watch was never answered, and a whole release passed before it was asked again.
+    """The first watch was never answered, and a whole release passed before the next one was opened.
 
-    What a silent watch misses counts as told 6 s after it fell silent, also if the next one is silent too.
+    The node has 6 s to know what a silent watch misses, from when it fell silent, also if the next watch is
+    silent too.
     """
     rules = {"ask_every_ms": 60_000.0}
 
     async def test() -> None:
         async with world(tmp_path, Server(), membership_mode=mode, rules=rules) as scene:
-            watches = [0]
-            async with asyncio.timeout(6.0):
-                while watches[-1] < 3:
-                    await asyncio.sleep(0.005)
-                    watches.append(sum("index=" in seen.target for seen in scene.registry.seen))
-            assert scene.registry.connections == 3  # the silent ones are given up
-            news = Server(name="new")
-            await news.start()
+            async with asyncio.timeout(NOTIFIED_WITHIN_S):
+                await until(lambda: scene.registry.watches() >= 3)
+            assert scene.registry.connections == 3  # the silent ones are abandoned
+            new = Server(name="new")
+            await new.start()
             # The first two of these go to the watches that are lost.
             scene.registry.tell()
             scene.registry.tell()
-            scene.registry.tell(news.entry())
+            scene.registry.tell(new.entry())
             await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 2)
-            await news.stop()
+            await new.stop()
 
     run(test())
 
 
 def test_a_servers_number_depends_on_its_name_alone() -> None:
-    """Nodes cut the fleet by these numbers: they must agree in every process and at every release."""
+    """Replicas divide the fleet by these ids: they must agree in every process and at every release."""
     assert server_id("s-5be2a07c") == 0x850D21AD14919D0C
     assert len({server_id(f"s-{n}") for n in range(1000)}) == 1000
 
@@ -120,16 +117,15 @@
 def test_ready_only_once_a_server_is_known(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        probe = b"GET /-/ready HTTP/1.1\r\n\r\n"
         async with world(tmp_path, server, known=False) as scene:
             scene.registry.whole = []
             caller = await scene.caller()
-            caller.write(probe)
+            caller.write(READY_CHECK)
             assert (await caller.read()).status == 500
             await until(lambda: scene.registry.watches() == 1)
             scene.registry.tell(server.entry(), snapshot=True)
             await until(lambda: scene.registry.watches() == 2)
-            caller.write(probe)
+            caller.write(READY_CHECK)
             assert (await caller.read()).status == 200
 
     run(test())
@@ -138,7 +134,7 @@
 def test_a_new_process_sends_nothing_on_its_saved_list_while_the_agent_may_hold_a_newer(
     tmp_path: Path,
 ) -> None:
-    """What the agent holds counts as told from the first moment; here it told first after the first send."""
+    """The node counts as knowing from the first moment what the agent holds."""
 
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at any moment of a process's life: a reload never ends it, and an end is never a crash."""
+"""Signals at any moment of a process: a reload never ends it, and a shutdown is never a crash."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.program import Program, spawn
 
 STARTS = 5
-EVERY_S = 0.0005
+SIGNAL_INTERVAL_S = 0.0005
 
 
 async def signal_until_it_ends(process: asyncio.subprocess.Process, number: signal.Signals) -> int:
@@ -23,12 +23,12 @@
         while process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(number)
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(SIGNAL_INTERVAL_S)
     return process.returncode
 
 
 def test_reloads_up_to_the_last_moment_of_a_planned_end_do_not_crash_it(tmp_path: Path) -> None:
-    """Found by the soak: the event loop gives signals back to the system before the process has ended."""
+    """The event loop gives signals back to the system before the process has ended."""
 
     async def test() -> None:
         async with world(tmp_path, Server(), start=False) as scene:
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
 def test_a_signal_before_the_node_is_up_is_taken_once_it_is(number: signal.Signals, tmp_path: Path) -> None:
-    """It ended the process: its handlers were not there yet."""
+    """The signal ended the process: its handlers were not there yet."""
 
     async def test() -> None:
         async with world(tmp_path, Server(), start=False) as scene:
@@ -52,9 +52,9 @@
             process = await spawn(scene.path)
             scene.processes.append(process)
             with await asyncio.to_thread(scene.path.open, "w") as file:
-                whole = tmp_path / "whole.json"
-                whole.write_text(text)
-                whole.replace(scene.path)  # for the reload
+                complete_file = tmp_path / "complete.json"
+                complete_file.write_text(text)
+                complete_file.replace(scene.path)  # for the reload
                 process.send_signal(number)
                 file.write(text)
             _, errors = await read_until(process, b"configuration reloaded")
