--- a/workspond/active_request.py
+++ b/workspond/active_request.py
@@ -68,6 +68,6 @@
         self.history = AttemptHistory()
         self.records: list[EndedAttempt | BlockedAttempt] = []
 
-    def abandon(self, why: str) -> None:
+    def abandon(self, reason: str) -> None:
         """End the request, as nobody waits for its answer any more."""
-        self._owner.abandon(self, why)
+        self._owner.abandon(self, reason)
--- a/workspond/observability/request_trace.py
+++ b/workspond/observability/request_trace.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 import logging
+from typing import Protocol
 
-from workspond.active_request import ActiveRequest
 from workspond.clock import now_ms
+from workspond.http.request import ClientRequest
+from workspond.observability.attempt_record import BlockedAttempt, EndedAttempt
 from workspond.policy.token_bucket import TokenBucket
 
 MAX_TRACES_PER_S = 20.0  # so that overload does not spend CPU on its log
@@ -14,22 +16,32 @@
 log = logging.getLogger("workspond")
 
 
+class TracedRequest(Protocol):
+    """What a trace tells of a request; see `ActiveRequest`."""
+
+    message: ClientRequest
+    received_at_ms: float
+    attempts_started: int
+    attempts_ended: int
+    records: list[EndedAttempt | BlockedAttempt]
+
+
 class RequestTracer:
     """Writes the traces, `MAX_TRACES_PER_S` at most."""
 
     def __init__(self) -> None:
         self._budget = TokenBucket(MAX_TRACES_PER_S, now_ms())
 
-    def log_failure(self, request: ActiveRequest, status: int) -> None:
+    def log_failure(self, request: TracedRequest, status: int) -> None:
         """Trace a request that was answered with an error."""
         event = "rejected" if status == REJECTED_STATUS else "failed"
         self._write(request, event, f"status={status}")
 
-    def log_abandoned(self, request: ActiveRequest, reason: str) -> None:
+    def log_abandoned(self, request: TracedRequest, reason: str) -> None:
         """Trace a request that nobody waits for any more."""
         self._write(request, "abandoned", f'reason="{reason}"')
 
-    def _write(self, request: ActiveRequest, event: str, cause: str) -> None:
+    def _write(self, request: TracedRequest, event: str, cause: str) -> None:
         now = now_ms()
         if not self._budget.try_take(MAX_TRACES_PER_S / 1000.0, MAX_TRACES_PER_S, now):
             return
