--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -36,8 +36,8 @@
 
 def open_requests(node: Node) -> int:
     """How many requests the node owes a response."""
-    assert len(node._open_ids) == len(node._live)
-    return len(node._live)
+    assert len(node._requests.open_request_ids) == len(node._requests.active)
+    return len(node._requests.active)
 
 
 async def connect(scene: World) -> socket.socket:
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -220,7 +220,7 @@
             await until(lambda: len(server.seen) == 2)
             server.gate.set()
             assert (await repeating.read()).body == b"new"
-            await until(lambda: not node._attempts)
+            await until(lambda: not node._attempts.in_flight)
             balancer = node._balancer
             assert balancer.in_flight == 0
             assert all(not known.in_flight for known in balancer.fleet.servers.values())
@@ -242,8 +242,15 @@
                 scene.callers.pop().writer.close()
             await until(lambda: open_connections(scene) == 0)
             module = node._balancer
-            assert open_requests(node) == 0 and not node._attempts and not node._events
-            assert len(node._addresses) == len(node._in_service) == len(module.fleet.servers) == 1
+            assert (
+                open_requests(node) == 0 and not node._attempts.in_flight and not node._policy.pending_count()
+            )
+            assert (
+                len(node._endpoints.addresses)
+                == len(node._endpoints.in_service)
+                == len(module.fleet.servers)
+                == 1
+            )
             assert not module._calls and not module._waiting and not any(module._queue._queues.values())
             assert len(module.retry_policy._taken._times) + len(module.retry_policy._further._times) <= 2
             assert node._upstream.connection_count() <= 1
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -53,7 +53,9 @@
 async def all_requests_finished(scene: World) -> None:
     """Wait until the node has no open request and no attempt in flight."""
     node = running_node(scene)
-    await until(lambda: not open_requests(node) and not node._attempts and not node._balancer._calls)
+    await until(
+        lambda: not open_requests(node) and not node._attempts.in_flight and not node._balancer._calls
+    )
 
 
 @each_way_to_leave
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -35,7 +35,7 @@
     """The fraction of its capacity that the node takes each server to have, by its name."""
     assert scene.node is not None
     module = scene.node._balancer
-    names = {scene.node._addresses[id]: id for id in module.fleet.servers}
+    names = {scene.node._endpoints.addresses[id]: id for id in module.fleet.servers}
     by_name = {
         server.name: names["127.0.0.1", int(server.address.rpartition(":")[2])] for server in scene.servers
     }
--- a/tests/test_connections_at_shutdown.py
+++ b/tests/test_connections_at_shutdown.py
@@ -19,7 +19,7 @@
     running_node,
 )
 from tests.peers import HANG, LIMIT_S, Server, request, run, until, world
-from workspond import node as node_module
+from workspond import graceful_shutdown
 from workspond.downstream import connection_states, frontend
 
 
@@ -35,8 +35,8 @@
 def test_a_planned_end_does_not_wait_for_callers_that_neither_ask_nor_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_module, "LONGEST_MS", 300.0)
-    monkeypatch.setattr(node_module, "LAST_MS", 100.0)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_MS", 300.0)
+    monkeypatch.setattr(graceful_shutdown, "DRAIN_BEFORE_LAST_ANSWER_MS", 100.0)
 
     async def test() -> None:
         server = Server()
@@ -137,7 +137,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its budget may reach past the moment at which the platform kills the node: it must not be open then."""
-    monkeypatch.setattr(node_module, "LONGEST_MS", 300.0)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_MS", 300.0)
 
     async def test() -> None:
         async with world(tmp_path, Server(usual=HANG)) as scene:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.peers import HANG, Caller, Registry, Server, request, run, until, world
-from tests.test_node import Program
+from tests.program import Program
 
 MAX_UPDATE_LATENCY_S = 6.0  # from the agent's return to the node's next watch
 MAX_RELOAD_LATENCY_S = 4.0  # from SIGHUP to a watch at the new address
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -19,7 +19,7 @@
 
 from tests.client_helpers import is_ok, ready_node, receive
 from tests.peers import LIMIT_S, Registry, Server, World, request, run, until, world
-from tests.test_node import Program
+from tests.program import Program
 from workspond.__main__ import listen
 from workspond.config import read_config
 from workspond.downstream.listener import Listener
@@ -168,7 +168,7 @@
     error: int, tries: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A node that restarts while descriptors run short must not end with status 2."""
-    monkeypatch.setattr("workspond.__main__.LISTEN_EVERY_S", 0.01)
+    monkeypatch.setattr("workspond.__main__.LISTEN_RETRY_INTERVAL_S", 0.01)
     calls = []
 
     def fail_three_times(real: Callable[..., Listener], *args: Any) -> Listener:
--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -64,7 +64,7 @@
         async with node_to_start(source, server, tmp_path) as scene:
             source.whole = [server.entry()]
             await scene.begin()
-            await until(lambda: scene.node is not None and bool(scene.node._in_service))
+            await until(lambda: scene.node is not None and scene.node.is_ready())
             assert source.connections == 1
 
     run(test())
@@ -79,7 +79,7 @@
             source.spoil = [without_length(source.listing([server.entry()], True)) + CLOSE]
             await scene.begin()
             await until(lambda: source.watches() > 0)
-            assert scene.node is not None and scene.node._in_service
+            assert scene.node is not None and scene.node._endpoints.in_service
 
     run(test())
 
@@ -131,9 +131,9 @@
         async with node_to_start(source, server, tmp_path) as scene:
             source.whole = [server.entry()]
             await scene.begin()
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
             source.tell(new.entry())
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 2)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 2)
             assert source.connections <= 8
         await new.stop()
 
@@ -158,7 +158,7 @@
             source.spoil = [frame(source.listing([server.entry()], True))]
             await scene.begin()
             await until(lambda: source.watches() > 0)
-            assert scene.node is not None and scene.node._in_service
+            assert scene.node is not None and scene.node._endpoints.in_service
 
     run(test())
 
--- a/tests/test_update_latency.py
+++ b/tests/test_update_latency.py
@@ -39,7 +39,7 @@
 
 def test_the_longest_sum_of_waits_is_within_the_time_after_which_news_counts_as_told() -> None:
     """It was 8.75 s with three silent calls in a row, where the node makes the calls on request."""
-    pushed_ms, asked_ms = node.PUSHED_RETRY_S * 1000.0, ASK_LONGEST_MS
+    pushed_ms, asked_ms = node.RESUBSCRIBE_DELAY_S * 1000.0, ASK_LONGEST_MS
     assert discovery.MAX_CONSECUTIVE_FAILURES >= 3
     for pause_ms in (pushed_ms, asked_ms):
         assert discovery.max_update_latency_ms(pause_ms) < MAX_LATENCY_MS - MARGIN_MS
@@ -202,7 +202,7 @@
             monkeypatch.setattr(watcher._listener, "watch_failed", watch_failed)
             agent.endpoints.append(new.entry())  # from now on discovery has the update
             agent.reset_connections()  # the first failure, before those named: the watch breaks
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 1)
+            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
             assert len(reasons) == len(failures) + 1, reasons
         await new.stop()
 
