--- a/tests/stalled_listener.py
+++ b/tests/stalled_listener.py
@@ -36,10 +36,15 @@
         self._filler.close()
         self._socket.close()
 
+    @property
+    def address(self) -> str:
+        """Where it listens."""
+        host, port = self._socket.getsockname()[:2]
+        return f"{host}:{port}"
+
     def entry(self) -> dict[str, Any]:
         """Return its entry in the endpoint list."""
-        port = self._socket.getsockname()[1]
-        return {"name": "stalled", "address": f"127.0.0.1:{port}", "status": "active"}
+        return {"name": "stalled", "address": self.address, "status": "active"}
 
     async def accept(self) -> socket.socket:
         """Let the connection that waits come up, and return it."""
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -11,39 +11,15 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Server, World, answer, read_message, request, run, until, world
-
-
-class SlowListener:
-    """A server whose first connection opens after a second: its backlog is full until then.
-
-    The kernel drops the first handshake, and tries again after that time.
-    """
-
-    def __init__(self) -> None:
-        self._socket = socket.create_server(("127.0.0.1", 0), backlog=0)
-        self._filler = socket.create_connection(self._socket.getsockname())
-        self._socket.setblocking(False)
-        host, port = self._socket.getsockname()[:2]
-        self.address = f"{host}:{port}"
-
-    async def accept(self) -> socket.socket:
-        """The connection that the node opens, once it is open."""
-        loop = asyncio.get_running_loop()
-        (await loop.sock_accept(self._socket))[0].close()
-        connection, _ = await asyncio.wait_for(loop.sock_accept(self._socket), LIMIT_S)
-        return connection
-
-    def close(self) -> None:
-        self._socket.close()
-        self._filler.close()
+from tests.peers import Server, World, answer, read_message, request, run, until, world
+from tests.stalled_listener import StalledListener
 
 
 @pytest.fixture
-def slow() -> Iterator[SlowListener]:
-    listener = SlowListener()
-    yield listener
-    listener.close()
+def slow() -> Iterator[StalledListener]:
+    """A server whose first connection opens after a second."""
+    with StalledListener() as listener:
+        yield listener
 
 
 async def connecting(scene: World) -> None:
@@ -71,7 +47,7 @@
 
 
 def test_a_server_that_moves_while_its_connection_comes_up_gets_nothing_at_its_old_address(
-    slow: SlowListener, tmp_path: Path
+    slow: StalledListener, tmp_path: Path
 ) -> None:
     """Its name was still in service, so the old process was sent the request."""
 
@@ -94,7 +70,7 @@
 
 
 def test_a_keyed_request_is_not_written_again_once_its_window_is_over(
-    slow: SlowListener, tmp_path: Path
+    slow: StalledListener, tmp_path: Path
 ) -> None:
     """The window was checked before connecting only, and the retry ran the request a second time."""
     window_s = 0.6
@@ -126,12 +102,12 @@
     run(test())
 
 
-def test_nothing_is_written_with_no_time_left(slow: SlowListener, tmp_path: Path) -> None:
+def test_nothing_is_written_with_no_time_left(slow: StalledListener, tmp_path: Path) -> None:
     """The timeout of the attempt itself comes first."""
 
     async def test() -> None:
         async with world(tmp_path, known=False) as scene:
-            scene.registry.whole = [{"name": "slow", "address": slow.address, "status": "active"}]
+            scene.registry.whole = [slow.entry()]
             await until(lambda: scene.node is not None and scene.node.is_ready())
             assert scene.node is not None
             caller = await scene.caller()
