--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -40,6 +40,7 @@
 from workspond.policy.retry_controller import SAMPLES, RetryController
 from workspond.policy.retry_policy import RetryPolicy
 from workspond.policy.server import Server
+from workspond.policy.server_measurements import CallInFlight
 from workspond.policy.server_selection import ServerSelector
 from workspond.policy.settings import DeduplicationScope, Idempotency, Settings
 from workspond.policy.slow_start import SlowStart
@@ -169,7 +170,7 @@
         ):  # Rosario fresh-big: sent on a dropped one, it is lost
             self._actions.append(CloseIdleConnections(server.id))
             call.connection_idle_ms = 0.0
-        server.calls_in_flight[call.id] = now_ms, request_class.objective_ms
+        server.calls_in_flight[call.id] = CallInFlight(now_ms, request_class.objective_ms)
         self._selector.update(server, now_ms)
         measured = self.typical_delay.samples >= SAMPLES
         timeout_ms = self.retry_policy.attempt_timeout_ms(
@@ -284,7 +285,7 @@
         if event.load_report:
             server.reported_queue, server.reported_at_ms = event.load_report.get("queue", 0.0), now_ms
         self._ejection.record_outcome(server, event.outcome, self._selector.ejected_fraction(now_ms), now_ms)
-        self._measure(server, *sent, event, now_ms)
+        self._measure(server, sent.sent_at_ms, sent.objective_ms, event, now_ms)
         self._selector.update(server, now_ms)
 
     def _retry(self, call: Call, event: AttemptEnded, now_ms: float) -> None:
--- a/workspond/policy/fleet.py
+++ b/workspond/policy/fleet.py
@@ -85,7 +85,7 @@
             if server is not None:
                 self._remove(server, change)
             return
-        if server is not None and server.restarted(entry):
+        if server is not None and server.has_restarted(entry):
             self._remove(server, change)  # of a new process nothing is known, also where one of that name was
             server = None
         if server is None:
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -1,8 +1,8 @@
-"""Which server gets an attempt: smooth weighted rotation among those that hold the fewest calls.
+"""Selection of the server for an attempt: smooth weighted round robin among the servers of the lowest load.
 
-What is found of a server is kept with it and worked out anew when something happens to it: an attempt begins
-or ends, the list changes, or the time comes at which its weight, its budget or its ejection will have
-changed. So a pick looks at a few servers only, however many there are.
+What is worked out for a server is kept in its `SelectionState` and worked out anew when something happens to
+it: an attempt begins or ends, the endpoint list changes, or the moment comes at which its weight, its cold
+budget or its ejection will have changed. So a pick looks at a few servers only, however many there are.
 """
 
 from __future__ import annotations
@@ -18,221 +18,258 @@
 from workspond.policy.request_statistics import TypicalDelay
 from workspond.policy.server import Server
 from workspond.policy.slow_start import SlowStart
-from workspond.policy.weighted_round_robin import Rotation
+from workspond.policy.weighted_round_robin import Rotation, RotationEntry
 
-MOST_DUE = 8  # servers that one event looks at because their time has come
-GROUP_DRAWN = 32  # servers that are compared for a request that may have run, of those that drop a repeat
-LEAST_SPEED = 1e-3  # that a server is taken for, so that weights differ only so far
-LEAST_WEIGHT = 1e-300  # so that it has a logarithm, whatever share discovery tells
+MAX_REFRESHED_SERVERS = 8  # that one event refreshes because they are due: bounds the cost of an event
+MAX_GROUP_CANDIDATES = 32  # servers of a deduplication group that are compared for one pick
+MIN_SPEED_FACTOR = 1e-3  # of a server, so that weights differ only so far
+MIN_WEIGHT = 1e-300  # of a server, so that its weight has a logarithm, whatever weight discovery lists
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A server that is compared with few others, in a rotation or not."""
+    """A server of a deduplication group that may get a call's next attempt.
+
+    Attributes:
+        server: The server.
+        weight: Its effective weight.
+        load: The calls of this replica that it works on, by subset weight.
+    """
 
     server: Server
     weight: float
-    load: float  # calls that it works on for this copy, for the part of it that is this copy's to use
-
-    def current_weight(self) -> float:
-        """How far ahead it is."""
-        return (
-            self.server.rotation_entry.current_weight
-            if self.server.rotation_entry is not None
-            else self.server.current_weight
-        )
-
-    def adjust(self, credit: float) -> None:
-        """Give it credit, or take it."""
-        if self.server.rotation_entry is not None:
-            self.server.rotation_entry.rotation.adjust(self.server, credit)
-        else:
-            self.server.current_weight += credit
+    load: float
 
 
 class ServerSelector:
-    """Picks a call's next server."""
+    """Picks the servers of calls' attempts."""
 
-    def __init__(self, fleet: Fleet, slow_start: SlowStart, usual: TypicalDelay, rng: random.Random) -> None:
-        self._fleet, self._slow_start, self._usual, self._rng = fleet, slow_start, usual, rng
-        self._open, self._ejected = Rotation(), Rotation()
-        self._due: list[tuple[float, int, Server]] = []  # a heap; entries unlike a server's `due_ms` are old
-        self._serial = itertools.count()
-        self._weight = 0.0  # of all servers that may be sent something, as far as their budgets go
-        self._round_weight = 0.0  # of those that took part in the last round
-        self._lost_calls = self._ejected_count = 0
+    def __init__(
+        self, fleet: Fleet, slow_start: SlowStart, typical_delay: TypicalDelay, rng: random.Random
+    ) -> None:
+        self._fleet = fleet
+        self._slow_start = slow_start
+        self._typical_delay = typical_delay
+        self._rng = rng
+        self._healthy: Rotation[Server] = Rotation()
+        self._ejected: Rotation[Server] = Rotation()
+        # A heap of moments and servers. An entry is invalid if the server's `refresh_at_ms` differs by now.
+        self._refresh_queue: list[tuple[float, int, Server]] = []
+        self._refresh_serials = itertools.count()
+        self._total_weight = 0.0  # of the servers in the subset whose cold budget allows an attempt
+        self._last_round_weight = 0.0  # the sum of the weights that took part in the last round
+        self._stalled_calls = 0
+        self._ejected_count = 0
 
-    # What is known of servers
+    # State of the servers
 
     def apply(self, change: FleetChange, now_ms: float) -> None:
-        """Take what the list has changed."""
+        """Take over a change of this replica's subset of the servers."""
         for server in change.removed:
             self._forget(server)
         for server in change.updated:
             self.update(server, now_ms)
 
     def update(self, server: Server, now_ms: float) -> None:
-        """Work out anew what is known of a server, if it is this copy's to use."""
+        """Work out a server's selection state anew, if it is in this replica's subset."""
         if not self._fleet.is_in_subset(server):
             return
-        usual, slow_start = self._usual.objective_ratio, self._slow_start
-        warmth = slow_start.capacity_fraction(server, now_ms)
-        has_budget = (
-            warmth >= 1.0
-            or slow_start.refill_cold_budget(server, warmth, self._fleet.total_subset_weight, now_ms) >= 1.0
-        )
-        weight = self._weight_of(server, warmth, now_ms)
-        lost = server.count_stalled_calls(now_ms, usual) if server.calls_in_flight else 0
-        ejected = now_ms < server.ejected_until_ms
-        self._count(server, weight if has_budget else 0.0, lost, ejected)
+        objective_ratio = self._typical_delay.objective_ratio
+        capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
+        has_budget = capacity_fraction >= 1.0 or self._has_cold_budget(server, capacity_fraction, now_ms)
+        weight = self._weight_of(server, capacity_fraction, now_ms)
+        stalled_calls = server.count_stalled_calls(now_ms, objective_ratio) if server.calls_in_flight else 0
+        is_ejected = now_ms < server.ejected_until_ms
+        self._count(server, weight if has_budget else 0.0, stalled_calls, is_ejected=is_ejected)
         selectable = has_budget and server.in_flight < server.in_flight_limit
-        rotation = (self._ejected if ejected else self._open) if selectable else None
-        self._place(server, rotation, (server.in_flight - lost) / server.subset_weight, weight)
-        due_ms = min(
-            server.next_speed_change_ms(now_ms, usual), slow_start.next_change_ms(server, warmth, now_ms)
+        rotation = (self._ejected if is_ejected else self._healthy) if selectable else None
+        self._place(server, rotation, (server.in_flight - stalled_calls) / server.subset_weight, weight)
+        refresh_at_ms = min(
+            server.next_speed_change_at_ms(now_ms, objective_ratio),
+            self._slow_start.next_change_at_ms(server, capacity_fraction, now_ms),
+        )
+        self._schedule_refresh(
+            server, min(refresh_at_ms, server.ejected_until_ms) if is_ejected else refresh_at_ms
+        )
+
+    def _has_cold_budget(self, server: Server, capacity_fraction: float, now_ms: float) -> bool:
+        """Whether the budget of a server that is warming up allows an attempt."""
+        tokens = self._slow_start.refill_cold_budget(
+            server, capacity_fraction, self._fleet.total_subset_weight, now_ms
         )
-        self._look_again(server, min(due_ms, server.ejected_until_ms) if ejected else due_ms)
+        return tokens >= 1.0
 
-    def _weight_of(self, server: Server, warmth: float, now_ms: float) -> float:
-        speed = max(warmth * server.speed_factor(now_ms, self._usual.objective_ratio), LEAST_SPEED)
-        return max(server.subset_weight * speed, LEAST_WEIGHT)
+    def _weight_of(self, server: Server, capacity_fraction: float, now_ms: float) -> float:
+        """Return the effective weight: the subset weight times how fast the server is."""
+        speed_factor = server.speed_factor(now_ms, self._typical_delay.objective_ratio)
+        return max(server.subset_weight * max(capacity_fraction * speed_factor, MIN_SPEED_FACTOR), MIN_WEIGHT)
 
     def _forget(self, server: Server) -> None:
-        """Drop a server that is no longer this copy's to use."""
-        if server.rotation_entry is not None:
-            server.rotation_entry.rotation.remove(server)
-        self._count(server, 0.0, 0, False)
-        server.refresh_at_ms = math.inf
-
-    def _count(self, server: Server, weight: float, lost: int, ejected: bool) -> None:
-        self._weight += weight - server.counted_weight
-        self._lost_calls += lost - server.stalled_calls
-        self._ejected_count += ejected - server.ejected
-        server.counted_weight, server.stalled_calls, server.ejected = weight, lost, ejected
-
-    def _place(self, server: Server, rotation: Rotation | None, load: float, weight: float) -> None:
-        """Put a server where it belongs, with the credit that it has."""
-        place = server.rotation_entry
-        if place is not None:
-            if place.rotation is rotation and place.load == load and server.effective_weight == weight:
+        """Drop a server that has left this replica's subset."""
+        server.selection.leave_rotation()
+        self._count(server, 0.0, 0, is_ejected=False)
+        server.selection.refresh_at_ms = math.inf
+
+    def _count(self, server: Server, weight: float, stalled_calls: int, *, is_ejected: bool) -> None:
+        """Replace a server's part of the totals."""
+        state = server.selection
+        self._total_weight += weight - state.counted_weight
+        self._stalled_calls += stalled_calls - state.stalled_calls
+        self._ejected_count += is_ejected - state.is_ejected
+        state.counted_weight = weight
+        state.stalled_calls = stalled_calls
+        state.is_ejected = is_ejected
+
+    def _place(self, server: Server, rotation: Rotation[Server] | None, load: float, weight: float) -> None:
+        """Move a server to a rotation, or out of all (None); it keeps its current weight."""
+        state = server.selection
+        entry = state.rotation_entry
+        if entry is not None:
+            level = entry.group.level
+            if level.rotation is rotation and level.load == load and state.effective_weight == weight:
                 return
-            place.rotation.remove(server)
-        self._start(server, weight)
-        server.effective_weight = weight
+            state.leave_rotation()
+        if not state.effective_weight:
+            self._draw_current_weight(server, weight)
+        state.effective_weight = weight
         if rotation is not None:
-            rotation.add(server, load)
+            state.rotation_entry = rotation.add(server, load, weight, state.current_weight)
 
-    def _start(self, server: Server, weight: float) -> None:
-        """Give a server that is new a random place in the round, so that copies don't go round in step."""
-        if not server.effective_weight:
-            server.current_weight = -self._rng.random() * max(weight, self._round_weight)
-            server.effective_weight = weight
+    def _draw_current_weight(self, server: Server, weight: float) -> None:
+        """Give a new server a random place in the round, so that replicas do not go round in step."""
+        server.selection.current_weight = -self._rng.random() * max(weight, self._last_round_weight)
 
-    def _look_again(self, server: Server, due_ms: float) -> None:
-        if due_ms < math.inf and due_ms != server.refresh_at_ms:
-            heapq.heappush(self._due, (due_ms, next(self._serial), server))
-        server.refresh_at_ms = due_ms
+    def _schedule_refresh(self, server: Server, refresh_at_ms: float) -> None:
+        state = server.selection
+        if refresh_at_ms < math.inf and refresh_at_ms != state.refresh_at_ms:
+            heapq.heappush(self._refresh_queue, (refresh_at_ms, next(self._refresh_serials), server))
+        state.refresh_at_ms = refresh_at_ms
 
     def refresh_due(self, now_ms: float) -> None:
-        """Look at servers whose time has come: those of longest ago, so many at most."""
-        looked = 0
-        while self._due and self._due[0][0] <= now_ms and looked < MOST_DUE:
-            due_ms, _, server = heapq.heappop(self._due)
-            if server.refresh_at_ms == due_ms:
+        """Update the servers that are due, the longest due first, up to `MAX_REFRESHED_SERVERS`."""
+        refreshed = 0
+        queue = self._refresh_queue
+        while queue and queue[0][0] <= now_ms and refreshed < MAX_REFRESHED_SERVERS:
+            refresh_at_ms, _, server = heapq.heappop(queue)
+            if server.selection.refresh_at_ms == refresh_at_ms:
                 self.update(server, now_ms)
-                looked += 1
+                refreshed += 1
 
     def count_stalled_calls(self, now_ms: float) -> int:
-        """How many calls are out that no server can be working on, as far as can be told."""
+        """Count the calls in flight that no server can be working on, as far as can be told."""
         self.refresh_due(now_ms)
-        return self._lost_calls
+        return self._stalled_calls
 
     def ejected_fraction(self, now_ms: float) -> float:
-        """The share of this copy's servers that are ejected."""
+        """Return the fraction of the servers in this replica's subset that are ejected."""
         self.refresh_due(now_ms)
         return self._ejected_count / (self._fleet.ready_count or 1)
 
     # Picks
 
     def pick(self, call: Call, now_ms: float) -> Server | None:
-        """The server for the call's next attempt; None where none may get one now."""
+        """Pick the server for a call's next attempt; None if no server may get one now."""
         if call.first_possible_run_at_ms is not None:
             return self._pick_in_group(call, now_ms)
         self.refresh_due(now_ms)
         if self._fleet.total_subset_weight:
-            self._slow_start.record_warm_fraction(
-                max(0.0, self._weight) / self._fleet.total_subset_weight, now_ms
-            )
-        last, rotation = call.last_server, self._open if self._open.size else self._ejected
-        # Elsewhere than last time, where there is a choice.
-        aside = last if last is not None and last in rotation and rotation.size > 1 else None
-        load = 0.0
-        if aside is not None and aside.rotation_entry is not None:
-            load = aside.rotation_entry.load
-            rotation.remove(aside)
-        server = self._leader(now_ms)
-        if server is not None and server.rotation_entry is not None:
-            self._round_weight = server.rotation_entry.rotation.charge(server)
-        if aside is not None:
-            rotation.add(aside, load)
-        return server if server is not None else aside
-
-    def _leader(self, now_ms: float) -> Server | None:
-        """The server whose turn it is; what is known of it is up to date."""
+            warm_fraction = max(0.0, self._total_weight) / self._fleet.total_subset_weight
+            self._slow_start.record_warm_fraction(warm_fraction, now_ms)
+        previous = call.last_server
+        if previous is not None:
+            rotation = self._active_rotation()
+            entry = previous.selection.rotation_entry
+            # A retry goes to another server than the last attempt, where there is a choice.
+            if entry is not None and entry.rotation is rotation and rotation.size > 1:
+                return self._pick_other(previous, entry, now_ms)
+        return self._pick_first(now_ms)
+
+    def _active_rotation(self) -> Rotation[Server]:
+        """Return the rotation that picks come from: ejected servers only where there are no others."""
+        return self._healthy if self._healthy.size else self._ejected
+
+    def _pick_other(self, excluded: Server, entry: RotationEntry[Server], now_ms: float) -> Server:
+        """Pick any server but one; that one only if no other is left."""
+        rotation = entry.rotation
+        load = entry.load
+        state = excluded.selection
+        state.leave_rotation()
+        picked = self._pick_first(now_ms)
+        state.rotation_entry = rotation.add(excluded, load, state.effective_weight, state.current_weight)
+        return picked if picked is not None else excluded
+
+    def _pick_first(self, now_ms: float) -> Server | None:
+        """Pick the server that the next round picks, and complete the round."""
+        entry = self._first_entry(now_ms)
+        if entry is None:
+            return None
+        self._last_round_weight = entry.rotation.finish_round(entry)
+        return entry.item
+
+    def _first_entry(self, now_ms: float) -> RotationEntry[Server] | None:
+        """Return the entry that the next round picks, with its server's state up to date."""
         while True:
-            # A slow or stuck server shows first by what it holds: passed over till its peers hold alike. With
-            # one more allowed, rota: a call waited behind another where a box that serves one at a time stood
-            # idle.
-            rotation = self._open if self._open.size else self._ejected
-            server = rotation.leader()
-            if server is None or server.refresh_at_ms > now_ms:
-                return server
-            self.update(server, now_ms)
+            # Only servers of the lowest load are picked. So a slow or stuck server, which shows first by the
+            # calls that it holds, is passed over until its peers hold as many. If one more call were allowed,
+            # calls would wait behind others while a server that works on one at a time stands idle.
+            entry = self._active_rotation().first()
+            if entry is None or entry.item.selection.refresh_at_ms > now_ms:
+                return entry
+            self.update(entry.item, now_ms)
 
     def _pick_in_group(self, call: Call, now_ms: float) -> Server | None:
-        """The server for a call that may have run: of those that drop a repeat, the one furthest ahead."""
+        """Pick a server for a call that may have run: one of those that drop a repeat of it."""
+        candidates = self._group_candidates(call, now_ms)
+        min_load = min((candidate.load for candidate in candidates), default=0.0)
+        candidates = [candidate for candidate in candidates if candidate.load <= min_load]
+        if not candidates:
+            return None
+        for candidate in candidates:
+            candidate.server.selection.add_current_weight(candidate.weight)
+        picked = max(
+            candidates, key=lambda candidate: candidate.server.selection.latest_current_weight()
+        ).server
+        self._last_round_weight = sum(candidate.weight for candidate in candidates)
+        picked.selection.add_current_weight(-self._last_round_weight)
+        return picked
+
+    def _group_candidates(self, call: Call, now_ms: float) -> list[Candidate]:
+        """Return the usable servers of a call's deduplication group.
+
+        Ejected servers are among them only if there are no others. The server of the last attempt is among
+        them only if there is no other.
+        """
         drawn = [
             self._candidate(server, now_ms)
-            for server in self._fleet.draw_deduplication_group(call, GROUP_DRAWN)
+            for server in self._fleet.draw_deduplication_group(call, MAX_GROUP_CANDIDATES)
         ]
         usable = [candidate for candidate in drawn if candidate is not None]
-        found = [candidate for candidate in usable if now_ms >= candidate.server.ejected_until_ms] or usable
-        if len(found) > 1:
-            found = [candidate for candidate in found if candidate.server is not call.last_server]
-        least = min((candidate.load for candidate in found), default=0.0)
-        found = [candidate for candidate in found if candidate.load <= least]
-        if not found:
-            return None
-        for candidate in found:
-            candidate.adjust(candidate.weight)
-        best = max(found, key=lambda candidate: candidate.current_weight())
-        self._round_weight = sum(candidate.weight for candidate in found)
-        best.adjust(-self._round_weight)
-        return best.server
+        healthy = [candidate for candidate in usable if now_ms >= candidate.server.ejected_until_ms]
+        candidates = healthy or usable
+        if len(candidates) > 1:
+            return [candidate for candidate in candidates if candidate.server is not call.last_server]
+        return candidates
 
     def _candidate(self, server: Server, now_ms: float) -> Candidate | None:
-        """A server as it is now, if it may get an attempt."""
+        """Return a server as a candidate of a group; None if it may get no attempt now."""
         if self._fleet.is_in_subset(server):
-            if server.rotation_entry is None or server.refresh_at_ms <= now_ms:
-                self.update(server, now_ms)
-            return (
-                Candidate(server, server.effective_weight, server.rotation_entry.load)
-                if server.rotation_entry is not None
-                else None
-            )
+            return self._subset_candidate(server, now_ms)
         if server.in_flight >= server.in_flight_limit or not server.subset_weight:
             return None
-        warmth, usual = self._slow_start.capacity_fraction(server, now_ms), self._usual.objective_ratio
-        if (
-            warmth < 1.0
-            and self._slow_start.refill_cold_budget(server, warmth, self._fleet.total_subset_weight, now_ms)
-            < 1.0
-        ):
+        capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
+        if capacity_fraction < 1.0 and not self._has_cold_budget(server, capacity_fraction, now_ms):
             return None
-        weight = self._weight_of(server, warmth, now_ms)
-        self._start(server, weight)
-        return Candidate(
-            server,
-            weight,
-            (server.in_flight - server.count_stalled_calls(now_ms, usual)) / server.subset_weight,
-        )
+        weight = self._weight_of(server, capacity_fraction, now_ms)
+        if not server.selection.effective_weight:
+            self._draw_current_weight(server, weight)
+            server.selection.effective_weight = weight
+        stalled_calls = server.count_stalled_calls(now_ms, self._typical_delay.objective_ratio)
+        return Candidate(server, weight, (server.in_flight - stalled_calls) / server.subset_weight)
+
+    def _subset_candidate(self, server: Server, now_ms: float) -> Candidate | None:
+        """Return a server of this replica's subset as a candidate; None if it may get no attempt now."""
+        state = server.selection
+        if state.rotation_entry is None or state.refresh_at_ms <= now_ms:
+            self.update(server, now_ms)
+        entry = state.rotation_entry
+        return Candidate(server, state.effective_weight, entry.load) if entry is not None else None
