--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -18,16 +18,17 @@
 from tests.plain_selection import CheckedSelector, cut_subset
 from tests.test_property import play
 from workspond.policy import balancer
-from workspond.policy.deduplication_groups import GroupIndex
+from workspond.policy.deduplication_groups import DeduplicationGroups
 from workspond.policy.endpoint import Endpoint
 from workspond.policy.events import EndpointUpdate, UpdateKind
 from workspond.policy.server import Server
-from workspond.policy.settings import RequestClass, Settings
+from workspond.policy.settings import DeduplicationScope, RequestClass, Settings
 from workspond.policy.subset import Subset
 from workspond.policy.token_bucket import TokenBucket
 from workspond.policy.weighted_round_robin import LoadLevel, Rotation, RotationEntry
 
 FEW, MANY = 30, 2000
+EVERYWHERE = (DeduplicationScope.ALL, None)
 CALLS = 150
 MOST_EXTRA_LOOKS = 12  # a call, warm-up calls (half as many again) included
 
@@ -102,37 +103,43 @@
     number, shares = rng.randrange(nodes + 3), dict[int, float]()
     subset = Subset(number, nodes, 4)
     for _ in range(12):
-        before = dict(subset.parts)
+        before = dict(subset.portions)
         for member in rng.sample(range(200), rng.choice((1, 2, 150))):
             if rng.random() < 0.4:
                 shares.pop(member, None)
                 subset.remove(member)
             else:
                 shares[member] = rng.choice((1.0, 0.5, 2.0)) if seed % 2 else 1.0
-                subset.set_share(member, shares[member])
+                subset.set_weight(member, shares[member])
         slices = rng.choice((4, 4, 8, 16))
         subset.use_slices(slices)
         changed = subset.update()
         expected = {m: part for m, part in cut_subset(shares, number, nodes, slices).items() if part > 1e-9}
-        assert subset.parts == pytest.approx(expected)
-        assert {m for m in before.keys() | subset.parts if before.get(m) != subset.parts.get(m)} <= changed
+        assert subset.portions == pytest.approx(expected)
+        assert {
+            m for m in before.keys() | subset.portions if before.get(m) != subset.portions.get(m)
+        } <= changed
 
 
 def test_groups_hold_what_was_put_in_and_draw_a_part_of_it() -> None:
-    rng, index, held = Random(1), GroupIndex(), dict[int, str]()
+    rng = Random(1)
+    groups = DeduplicationGroups()
+    zones: dict[int, str] = {}
     servers = [Server(Endpoint(n), 0.0, rng) for n in range(60)]
     for _ in range(2000):
-        server, key = rng.choice(servers), rng.choice("abc")
+        server = rng.choice(servers)
+        zone = rng.choice("abc")
         if rng.random() < 0.3:
-            index.remove(server)
-            held.pop(server.id, None)
+            groups.remove(server)
+            zones.pop(server.id, None)
         else:
-            index.put(server, (key, "all"))
-            held[server.id] = key
-        expected = {id for id, group in held.items() if group == key}
-        assert {server.id for server in index.draw(key, 100, rng)} == expected
-    drawn = Counter(server.id for _ in range(3000) for server in index.draw("all", 5, rng))
-    assert set(drawn) == set(held) and max(drawn.values()) < 2 * min(drawn.values())
+            groups.put(server, ((DeduplicationScope.ZONE, zone), EVERYWHERE))
+            zones[server.id] = zone
+        expected = {server_id for server_id, other in zones.items() if other == zone}
+        drawn = groups.draw((DeduplicationScope.ZONE, zone), 100, rng)
+        assert {server.id for server in drawn} == expected
+    draws = Counter(server.id for _ in range(3000) for server in groups.draw(EVERYWHERE, 5, rng))
+    assert set(draws) == set(zones) and max(draws.values()) < 2 * min(draws.values())
 
 
 def looks(monkeypatch: pytest.MonkeyPatch, case: Case) -> int:
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -1,4 +1,7 @@
-"""Servers that fail much more often than their peers are kept out for a while. The paper names none: ours."""
+"""Outlier ejection: servers that fail much more often than their peers get no attempts for a while.
+
+The paper that the policy follows names none; this is ours.
+"""
 
 from __future__ import annotations
 
@@ -9,48 +12,72 @@
 from workspond.policy.request_statistics import PEER_SAMPLES
 from workspond.policy.server import Server
 
-EJECT_MS, EJECT_DOUBLINGS = 1_000.0, 5  # the first time out; how often it doubles
-EJECT_SHARE = 0.5  # of the servers may be out at once for errors
-EJECT_LOG_ODDS = math.log(30.0)  # from which a server is ejected for its errors
-BAD_RATIO, ERROR_FLOOR = 0.5, 0.01  # the share of errors to suspect; the least that peers are taken for
-LIMIT_CUT = 0.9  # what a server may hold from here after it has turned an attempt away
+EJECTION_MS = 1_000.0  # the duration of a first ejection, before jitter
+MAX_EJECTION_DOUBLINGS = 5  # how often the duration doubles at most, for ejections in a row
+MIN_EJECTION_JITTER = 0.5  # a duration is multiplied by a random factor between this and 1 more
+MAX_EJECTED_FRACTION = 0.5  # of the servers, from which on none more is ejected for its errors
+EJECTION_LOG_ODDS = math.log(30.0)  # from which on a server is ejected for its errors
+OUTLIER_ERROR_FRACTION = 0.5  # the fraction of errors that a server is suspected of
+MIN_PEER_ERROR_FRACTION = 0.01  # that peers are taken to have at least
+IN_FLIGHT_LIMIT_CUT = (
+    0.9  # the part of the calls in flight that a server may hold after it rejects an attempt
+)
 
 
 class OutlierEjection:
-    """Judges servers by the outcomes of their attempts."""
+    """Ejects servers, and limits their calls in flight, by the outcomes of their attempts."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._errors = 0.0  # the share of all recent attempts
-
-    def record_outcome(self, server: Server, result: Outcome, ejected_share: float, now_ms: float) -> None:
-        """What an outcome tells of the server's health; `ejected_share`: of its peers that are out now."""
-        if result in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
-            held = min(server.in_flight_limit, float(server.in_flight))
-            server.in_flight_limit = max(1.0, held * LIMIT_CUT)
-            if result is Outcome.CONNECT_FAILED and not server.in_flight:  # down, or out of connections
+        self._error_fraction = 0.0  # of the recent attempts to all servers
+
+    def record_outcome(
+        self, server: Server, outcome: Outcome, ejected_fraction: float, now_ms: float
+    ) -> None:
+        """Record the outcome of an attempt.
+
+        Args:
+            server: The server of the attempt.
+            outcome: How the attempt ended.
+            ejected_fraction: The fraction of the servers that are ejected now.
+            now_ms: The time.
+        """
+        if outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
+            in_flight = min(server.in_flight_limit, float(server.in_flight))
+            server.in_flight_limit = max(1.0, in_flight * IN_FLIGHT_LIMIT_CUT)
+            # Without calls in flight the server is down, or out of connections.
+            if outcome is Outcome.CONNECT_FAILED and not server.in_flight:
                 self._eject(server, now_ms)
-        elif result is Outcome.SUCCESS:
+        elif outcome is Outcome.SUCCESS:
             server.in_flight_limit += 1.0 / server.in_flight_limit
-        if result in (Outcome.SUCCESS, Outcome.ERROR, Outcome.RESET):
-            self._weigh(server, result is not Outcome.SUCCESS, ejected_share, now_ms)
-
-    def _weigh(self, server: Server, bad: bool, ejected_share: float, now_ms: float) -> None:
-        # Fast errors look like low delay: weigh failing half its calls against failing like its peers.
-        peers = max(ERROR_FLOOR, min(self._errors, BAD_RATIO))
-        self._errors += (bad - self._errors) / PEER_SAMPLES
-        step = math.log(BAD_RATIO / peers) if bad else math.log((1.0 - BAD_RATIO) / (1.0 - peers))
+        if outcome in (Outcome.SUCCESS, Outcome.ERROR, Outcome.RESET):
+            self._update_odds(server, outcome, ejected_fraction, now_ms)
+
+    def _update_odds(self, server: Server, outcome: Outcome, ejected_fraction: float, now_ms: float) -> None:
+        """Update the odds that the server is an outlier, and eject it where they are high.
+
+        Fast errors look like low latency. So the hypothesis that the server fails half its calls is weighed
+        against the one that it fails as its peers do.
+        """
+        is_error = outcome is not Outcome.SUCCESS
+        peer_fraction = max(MIN_PEER_ERROR_FRACTION, min(self._error_fraction, OUTLIER_ERROR_FRACTION))
+        self._error_fraction += (is_error - self._error_fraction) / PEER_SAMPLES
+        if is_error:
+            step = math.log(OUTLIER_ERROR_FRACTION / peer_fraction)
+        else:
+            step = math.log((1.0 - OUTLIER_ERROR_FRACTION) / (1.0 - peer_fraction))
         server.error_log_odds = max(0.0, server.error_log_odds + step)
-        if server.error_log_odds >= EJECT_LOG_ODDS:
-            if ejected_share < EJECT_SHARE:
+        if server.error_log_odds >= EJECTION_LOG_ODDS:
+            if ejected_fraction < MAX_EJECTED_FRACTION:
                 self._eject(server, now_ms)
-            server.error_log_odds = EJECT_LOG_ODDS / 2.0  # on its return it is on probation
+            server.error_log_odds = EJECTION_LOG_ODDS / 2.0  # on its return it is on probation
         elif not server.error_log_odds:
             server.ejections = 0
 
     def _eject(self, server: Server, now_ms: float) -> None:
-        """Keep away for a while, longer each time in a row, with jitter; it then returns by itself."""
+        """Eject a server, unless it is ejected: longer each time in a row, with jitter; it ends by itself."""
         if now_ms >= server.ejected_until_ms:
-            doubled = 2.0 ** min(server.ejections, EJECT_DOUBLINGS)
-            server.ejected_until_ms = now_ms + EJECT_MS * doubled * (0.5 + self._rng.random())
+            doublings = min(server.ejections, MAX_EJECTION_DOUBLINGS)
+            jitter = MIN_EJECTION_JITTER + self._rng.random()
+            server.ejected_until_ms = now_ms + EJECTION_MS * 2.0**doublings * jitter
             server.ejections += 1
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -77,12 +77,17 @@
         Returns:
             Whether anything that matters here has changed.
         """
-        before = self._entry_fields()
+        unchanged = (
+            entry.zone == self.zone
+            and entry.cell == self.cell
+            and max(entry.weight, 0.0) == self.listed_weight
+            and (entry.state is EndpointState.IN_SERVICE) == self.in_service
+            and entry.started_at_ms == self.started_at_ms
+        )
+        if unchanged:
+            return False
         self._read(entry)
-        return self._entry_fields() != before
-
-    def _entry_fields(self) -> tuple[str, int, float, bool, float | None]:
-        return self.zone, self.cell, self.listed_weight, self.in_service, self.started_at_ms
+        return True
 
     def _read(self, entry: Endpoint) -> None:
         self.zone = entry.zone
--- a/workspond/policy/subset.py
+++ b/workspond/policy/subset.py
@@ -1,7 +1,8 @@
-"""Deterministic subsetting: which part of each server a copy uses, kept up to date by the change.
+"""Deterministic subsetting: which portion of each server's weight a replica uses, updated by changes.
 
-All servers are shuffled several times, in the same way at every copy. Each shuffle is cut into as many slices
-as there are copies, one for each, so that all copies together use every server in proportion to its share.
+All members are shuffled several times, in the same way at every replica. Each shuffle is cut into as many
+slices as there are replicas, one for each. So all replicas together use every member in proportion to its
+weight.
 """
 
 from __future__ import annotations
@@ -12,157 +13,187 @@
 from collections import Counter
 from random import Random
 
-REBUILD_FROM = 64  # changes at once, from which shuffles are sorted anew
-SLIVER = 1e-9  # of a share: less than that is a rounding error
+MIN_REBUILD_CHANGES = 64  # changed members at once, from which on shuffles are sorted anew
+MIN_PORTION_FRACTION = 1e-9  # of a member's weight: a smaller portion is a rounding error
 
 
 class Shuffle:
-    """All members in an order of their own."""
+    """All members in an order that depends on the shuffle's number only."""
 
     def __init__(self, number: int) -> None:
         self._factor = Random(number).getrandbits(32) | 1
-        self._order: list[tuple[int, int]] = []  # by hash and member
+        self._order: list[tuple[int, int]] = []  # hash and member, sorted
 
-    def _key(self, member: int) -> tuple[int, int]:
+    def _sort_key(self, member: int) -> tuple[int, int]:
         return member * self._factor % 2**32, member
 
     def rebuild(self, members: dict[int, float]) -> None:
-        """Sort all members anew."""
-        self._order = sorted(map(self._key, members))
+        """Replace all members."""
+        self._order = sorted(map(self._sort_key, members))
 
     def insert(self, member: int) -> None:
-        """Add a member that is not in."""
-        insort(self._order, self._key(member))
+        """Add a member; it must not be one yet."""
+        insort(self._order, self._sort_key(member))
 
     def remove(self, member: int) -> None:
-        """Drop a member that is in."""
-        del self._order[bisect_left(self._order, self._key(member))]
-
-    def take_even(self, start: float, end: float, share: float) -> dict[int, float]:
-        """What lies from `start` to `end` where all have the same share."""
-        taken = {}
-        for n in range(int(start / share), min(len(self._order), math.ceil(end / share))):
-            part = min((n + 1) * share, end) - max(n * share, start)
-            if part > 0.0:
-                taken[self._order[n][1]] = part
-        return taken
-
-    def take(self, start: float, end: float, shares: dict[int, float]) -> dict[int, float]:
-        """What lies from `start` to `end` of all shares, laid end to end."""
+        """Remove a member; it must be one."""
+        del self._order[bisect_left(self._order, self._sort_key(member))]
+
+    def cut_equal(self, start: float, end: float, weight: float) -> dict[int, float]:
+        """Cut out the portions from `start` to `end` where all members have the same weight."""
+        portions = {}
+        last = min(len(self._order), math.ceil(end / weight))
+        for position in range(int(start / weight), last):
+            portion = min((position + 1) * weight, end) - max(position * weight, start)
+            if portion > 0.0:
+                portions[self._order[position][1]] = portion
+        return portions
+
+    def cut(self, start: float, end: float, weights: dict[int, float]) -> dict[int, float]:
+        """Cut out the portions from `start` to `end` of all weights, laid end to end."""
         members = [member for _, member in self._order]
-        ends = list(itertools.accumulate(shares[member] for member in members))
-        taken = {}
-        for n in range(bisect_left(ends, start), len(ends)):
-            share = shares[members[n]]
-            if ends[n] - share >= end:
+        ends = list(itertools.accumulate(weights[member] for member in members))
+        portions = {}
+        for position in range(bisect_left(ends, start), len(ends)):
+            member_end = ends[position]
+            member_start = member_end - weights[members[position]]
+            if member_start >= end:
                 break
-            part = min(ends[n], end) - max(ends[n] - share, start)
-            if part > 0.0:
-                taken[members[n]] = part
-        return taken
+            portion = min(member_end, end) - max(member_start, start)
+            if portion > 0.0:
+                portions[members[position]] = portion
+        return portions
 
 
 class Subset:
-    """What copy `number` of `nodes` uses of each member."""
+    """The portions of all members that one replica uses.
 
-    def __init__(self, number: int, nodes: int, slices: int) -> None:
-        self._number, self._nodes = number % nodes, nodes  # numbered beyond their count it would take nothing
+    Attributes:
+        slices: The number of slices that the replica uses; with as many as there are replicas it uses all.
+        portions: The portion of each member that the replica uses, as of the last update.
+    """
+
+    def __init__(self, replica_index: int, replicas: int, slices: int) -> None:
+        self._replica_index = replica_index % replicas  # one beyond their count would get no slice
+        self._replicas = replicas
         self.slices = slices
-        self._shares: dict[int, float] = {}
-        self._counts: Counter[float] = Counter()  # of members by share
+        self._weights: dict[int, float] = {}
+        self._weight_counts: Counter[float] = Counter()  # the number of members by weight
         self._changed: set[int] = set()
+        self._slices_changed = False
         self._shuffles: list[Shuffle] = []
-        self._ordered: set[int] = set()  # the members that the shuffles hold
-        self._resized = False
-        self.parts: dict[int, float] = {}  # of each member that this copy uses
+        self._shuffled: set[int] = set()  # the members that the shuffles hold
+        self.portions: dict[int, float] = {}
 
     def __len__(self) -> int:
-        return len(self._shares)
-
-    def set_share(self, member: int, share: float) -> None:
-        """Add a member, or change its share."""
-        if self._shares.get(member) != share:
-            self._discount(member)
-            self._shares[member] = share
-            self._counts[share] += 1
+        return len(self._weights)
+
+    def set_weight(self, member: int, weight: float) -> None:
+        """Add a member, or change its weight, from the next update on."""
+        if self._weights.get(member) != weight:
+            self._uncount_weight(member)
+            self._weights[member] = weight
+            self._weight_counts[weight] += 1
             self._changed.add(member)
 
     def remove(self, member: int) -> None:
-        """Drop a member, if it is one."""
-        if member in self._shares:
-            self._discount(member)
-            del self._shares[member]
+        """Remove a member, if it is one, from the next update on."""
+        if member in self._weights:
+            self._uncount_weight(member)
+            del self._weights[member]
             self._changed.add(member)
 
-    def _discount(self, member: int) -> None:
-        share = self._shares.get(member)
-        if share is not None:
-            self._counts[share] -= 1
-            if not self._counts[share]:
-                del self._counts[share]
+    def _uncount_weight(self, member: int) -> None:
+        weight = self._weights.get(member)
+        if weight is not None:
+            self._weight_counts[weight] -= 1
+            if not self._weight_counts[weight]:
+                del self._weight_counts[weight]
 
     def use_slices(self, slices: int) -> None:
         """Use so many slices from the next update on."""
-        self._resized = self._resized or slices != self.slices
+        self._slices_changed = self._slices_changed or slices != self.slices
         self.slices = slices
 
     def update(self) -> set[int]:
-        """Bring `parts` up to date; the members that were set or removed, or whose part has changed."""
-        changed, self._changed = self._changed, set()
-        if not changed and not self._resized:
+        """Bring `portions` up to date.
+
+        Returns:
+            The members that were set or removed since the last update, or whose portion has changed.
+        """
+        changed = self._changed
+        self._changed = set()
+        if not changed and not self._slices_changed:
             return set()
-        if self.slices >= self._nodes:
+        if self.slices >= self._replicas:
             self._shuffles.clear()
             return self._use_all(changed)
-        self._resized = False
-        self._reorder(changed)
-        return self._replace(self._cut()) | changed
+        self._slices_changed = False
+        self._update_shuffles(changed)
+        return self._replace_portions(self._cut_slices()) | changed
 
     def _use_all(self, changed: set[int]) -> set[int]:
-        if self._resized:
-            self._resized = False
-            everything = {member: share for member, share in self._shares.items() if share}
-            return self._replace(everything) | changed
+        """Use the whole weight of all members."""
+        if self._slices_changed:
+            self._slices_changed = False
+            all_weights = {member: weight for member, weight in self._weights.items() if weight}
+            return self._replace_portions(all_weights) | changed
         for member in changed:
-            share = self._shares.get(member, 0.0)
-            if share:
-                self.parts[member] = share
+            weight = self._weights.get(member, 0.0)
+            if weight:
+                self.portions[member] = weight
             else:
-                self.parts.pop(member, None)
+                self.portions.pop(member, None)
         return changed
 
-    def _reorder(self, changed: set[int]) -> None:
-        """Bring the shuffles up to date with the members, and to their number."""
+    def _update_shuffles(self, changed: set[int]) -> None:
+        """Bring the number of shuffles and their members up to date."""
         del self._shuffles[self.slices :]
-        if len(changed) >= REBUILD_FROM or not self._shuffles:
+        if len(changed) >= MIN_REBUILD_CHANGES or not self._shuffles:
             self._shuffles.clear()
-            self._ordered = set(self._shares)
+            self._shuffled = set(self._weights)
         for member in changed:
-            if member in self._shares and member not in self._ordered:
-                self._ordered.add(member)
-                for shuffle in self._shuffles:
-                    shuffle.insert(member)
-            elif member in self._ordered and member not in self._shares:
-                self._ordered.remove(member)
-                for shuffle in self._shuffles:
-                    shuffle.remove(member)
+            self._update_member(member)
         while len(self._shuffles) < self.slices:
             shuffle = Shuffle(len(self._shuffles))
-            shuffle.rebuild(self._shares)
+            shuffle.rebuild(self._weights)
             self._shuffles.append(shuffle)
 
-    def _cut(self) -> dict[int, float]:
-        size = math.fsum(share * count for share, count in self._counts.items()) / self._nodes
-        start, end = self._number * size, (self._number + 1) * size
-        even = next(iter(self._counts)) if len(self._counts) == 1 else 0.0
-        taken: dict[int, float] = {}
+    def _update_member(self, member: int) -> None:
+        """Add a changed member to the shuffles, or remove it from them."""
+        if member in self._weights and member not in self._shuffled:
+            self._shuffled.add(member)
+            for shuffle in self._shuffles:
+                shuffle.insert(member)
+        elif member in self._shuffled and member not in self._weights:
+            self._shuffled.remove(member)
+            for shuffle in self._shuffles:
+                shuffle.remove(member)
+
+    def _cut_slices(self) -> dict[int, float]:
+        """Cut this replica's slice out of each shuffle, and add up the portions by member."""
+        total_weight = math.fsum(weight * count for weight, count in self._weight_counts.items())
+        slice_weight = total_weight / self._replicas
+        start = self._replica_index * slice_weight
+        end = (self._replica_index + 1) * slice_weight
+        equal_weight = next(iter(self._weight_counts)) if len(self._weight_counts) == 1 else 0.0
+        portions: dict[int, float] = {}
         for shuffle in self._shuffles:
-            piece = shuffle.take_even(start, end, even) if even else shuffle.take(start, end, self._shares)
-            for member, part in piece.items():
-                taken[member] = taken.get(member, 0.0) + part
-        return {member: part for member, part in taken.items() if part > SLIVER * self._shares[member]}
-
-    def _replace(self, parts: dict[int, float]) -> set[int]:
-        before, self.parts = self.parts, parts
-        changed = {member for member, part in parts.items() if before.get(member) != part}
-        return changed | (before.keys() - parts.keys())
+            if equal_weight:
+                cut = shuffle.cut_equal(start, end, equal_weight)
+            else:
+                cut = shuffle.cut(start, end, self._weights)
+            for member, portion in cut.items():
+                portions[member] = portions.get(member, 0.0) + portion
+        return {
+            member: portion
+            for member, portion in portions.items()
+            if portion > MIN_PORTION_FRACTION * self._weights[member]
+        }
+
+    def _replace_portions(self, portions: dict[int, float]) -> set[int]:
+        """Replace all portions; return the members whose portion has changed."""
+        before = self.portions
+        self.portions = portions
+        changed = {member for member, portion in portions.items() if before.get(member) != portion}
+        return changed | (before.keys() - portions.keys())
