--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -1,14 +1,15 @@
-"""A fleet of copies in one process, in simulated time, in front of servers of which some are cold.
+"""Balancer replicas in simulated time, in front of servers of which some are warming up.
 
-Each copy is a `Balancer` of its own that hears only its own events. Servers work off one request at a time, a
-cold one slower by its warmth. What all copies together send a cold server is held against what the operators
-let it bear: N requests of mean work in the stated time, N being what the settings allow then, and 2 x root of
-N + 2 more for chance.
+Each replica is a `Balancer` of its own that gets only its own events. A server works off one request at a
+time, and is slower while it is warming up. What all replicas together send a cold server is held against what
+the rules let it bear: N requests of mean work in the stated window, N being what the settings allow then, and
+2 x root of N + 2 more for chance.
 """
 
 from __future__ import annotations
 
 import heapq
+import itertools
 import math
 import random
 from collections.abc import Callable
@@ -30,195 +31,307 @@
 )
 from workspond.policy.settings import Idempotency, RequestClass, Settings
 
-START, RAMP_MS, FACTOR, SPAN_MS = 0.2, 10_000.0, 2.5, 1_500.0
-HOP_MS = 1.0  # each way
+START_CAPACITY = 0.2
+RAMP_MS = 10_000.0
+OVERLOAD_FACTOR = 2.5
+OVERLOAD_WINDOW_MS = 1_500.0
+HOP_MS = 1.0  # from a replica to a server, and back
+MAX_ATTEMPTS = 3
+WORK_SPREAD = (0.7, 1.3)  # of one request, as a ratio of its class's work
 
 
 @dataclass
-class Work:
-    """A class of requests: its share of all, and how long a warm server works on one."""
+class WorkClass:
+    """A class of requests.
 
-    cls: RequestClass
-    share: float
+    Attributes:
+        request_class: The class as the settings have it.
+        fraction: Its fraction of all requests.
+        work_ms: How long a warm server works on a request, in the mean.
+    """
+
+    request_class: RequestClass
+    fraction: float
     work_ms: float
 
 
 def request_class(name: str) -> RequestClass:
+    """Return an idempotent class."""
     return RequestClass(name, 400.0, 1200.0, idempotency=Idempotency.IDEMPOTENT)
 
 
-USUAL = (Work(request_class("usual"), 1.0, 20.0),)
-HEAVY = (Work(request_class("light"), 0.85, 10.0), Work(request_class("heavy"), 0.15, 80.0))
+USUAL = (WorkClass(request_class("usual"), 1.0, 20.0),)
+HEAVY = (
+    WorkClass(request_class("light"), 0.85, 10.0),
+    WorkClass(request_class("heavy"), 0.15, 80.0),
+)
+
+
+def usual_load(_at_ms: float) -> float:
+    """Return a steady load below what the warm servers can serve."""
+    return 0.6
 
 
 @dataclass
-class Day:
-    """What happens; times in ms from the start of the cold servers."""
+class Scenario:
+    """What happens; moments are relative to the start of the cold servers.
+
+    Attributes:
+        warm: The number of servers that are warm all the time.
+        cold: The number of servers that start cold.
+        load: The load by time, as a ratio of what the warm servers (all, if none is warm) can serve.
+        work_classes: The classes of the requests.
+        update_spread_ms: Replicas learn of the cold servers at random moments within this time.
+        replica_restarts_at_ms: The moments at which a third of the replicas restarts.
+        servers_restart: Whether the cold servers were listed before, and restart with their old ids.
+        update_interval_ms: From one complete list to the next, as in a rollout that goes on.
+        tier: The tier that the replicas send to.
+        before_ms: The time that is simulated before the start of the cold servers.
+        after_ms: The time that is simulated after it.
+    """
 
     warm: int = 6
     cold: int = 2
-    load: Callable[[float], float] = lambda _: 0.6  # of what the warm servers (all, if none is) bear, by time
-    classes: tuple[Work, ...] = USUAL
-    hear_ms: float = 0.0  # copies hear of the start so far apart
-    restarts: tuple[float, ...] = ()  # moments at which a third of the copies start anew
-    again: bool = False  # the cold servers were there before, and restarted under their names
-    news_ms: float = math.inf  # from one whole list to the next, as in a release that goes on
+    load: Callable[[float], float] = usual_load
+    work_classes: tuple[WorkClass, ...] = USUAL
+    update_spread_ms: float = 0.0
+    replica_restarts_at_ms: tuple[float, ...] = ()
+    servers_restart: bool = False
+    update_interval_ms: float = math.inf
     tier: int = 1
     before_ms: float = 8_000.0
     after_ms: float = RAMP_MS
 
+    @property
+    def lists_cold_servers_before(self) -> bool:
+        """Whether the servers that will start cold are listed, as warm ones, before they start."""
+        return self.servers_restart or not self.warm
+
+    def mean_work_ms(self) -> float:
+        """Return the work of a request in the mean over all classes."""
+        return sum(work_class.fraction * work_class.work_ms for work_class in self.work_classes)
+
+
+@dataclass
+class ReceivedWork:
+    """A request that a server has received."""
+
+    at_ms: float
+    work_ratio: float  # its work over the mean of all requests
+
+
+@dataclass
+class SimulatedServer:
+    """A server that works on one request at a time."""
+
+    started_at_ms: float = -math.inf
+    idle_at_ms: float = 0.0  # when it will have worked off all that it has received
+    received: list[ReceivedWork] = field(default_factory=list)  # of replicas that know that it started
+
+    @property
+    def has_started(self) -> bool:
+        """Whether it has started cold in the simulation."""
+        return self.started_at_ms > -math.inf
+
+    def capacity_fraction(self, now_ms: float) -> float:
+        """Return its speed as a fraction of a warm server's."""
+        ramp = min(1.0, max(0.0, (now_ms - self.started_at_ms) / RAMP_MS))
+        return START_CAPACITY + (1.0 - START_CAPACITY) * ramp
+
 
 @dataclass
-class Machine:
-    """A server."""
+class SimulatedRequest:
+    """A request that a replica has received."""
 
-    started_at_ms: float  # -inf: long ago
-    free_ms: float = 0.0
-    got: list[tuple[float, float]] = field(default_factory=list)  # when, and what share of mean work
+    work_ms: float
+    attempts: int = 0
+
+
+@dataclass
+class Replica:
+    """A balancer process."""
 
-    def warmth(self, now: float) -> float:
-        return START + (1.0 - START) * min(1.0, max(0.0, (now - self.started_at_ms) / RAMP_MS))
+    index: int
+    balancer: Balancer
+    requests: dict[str, SimulatedRequest]  # outlives a restart, as what was sent goes on
 
 
-class Fleet:
-    """Plays a day; `worst` and `sends` tell of the cold servers."""
+class ColdFleet:
+    """Simulates a scenario; `worst_window` and `sent_ratio` then say how the cold servers fared."""
 
-    def __init__(self, day: Day, copies: int, seed: int) -> None:
-        self.day, self.copies = day, copies
+    def __init__(self, scenario: Scenario, replicas: int, seed: int) -> None:
+        self._scenario = scenario
+        self._replica_count = replicas
         self._rng = random.Random(seed)
-        self._now = 0.0
-        self._order = 0
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._mean_ms = sum(work.share * work.work_ms for work in day.classes)
-        self._machines = {n: Machine(-math.inf) for n in range(day.warm)}
-        if day.again or not day.warm:
-            self._machines |= {day.warm + n: Machine(-math.inf) for n in range(day.cold)}
-        self._nodes: list[Balancer] = []
-        self._told = [False] * copies
-        self._sent: dict[tuple[int, str], tuple[int, float]] = {}  # of each copy's requests: attempts, work
-        self._ids = 0
-        for number in range(copies):
-            self._nodes.append(self._start(number))
-        self._at(day.before_ms, self._cold_start)
-        for moment in day.restarts:
-            self._at(day.before_ms + moment, self._restart_some)
-        self._arrive()
-        end = day.before_ms + day.after_ms
-        while self._due and self._due[0][0] <= end:
-            self._now, _, what = heapq.heappop(self._due)
-            what()
-
-    def _at(self, when: float, what: Callable[[], None]) -> None:
-        self._order += 1
-        heapq.heappush(self._due, (when, self._order, what))
-
-    def _start(self, number: int) -> Balancer:
+        self._now_ms = 0.0
+        self._serials = itertools.count()
+        self._events: list[tuple[float, int, Callable[[], None]]] = []  # a heap
+        self._mean_work_ms = scenario.mean_work_ms()
+        listed_before = scenario.warm + (scenario.cold if scenario.lists_cold_servers_before else 0)
+        self._servers = {server_id: SimulatedServer() for server_id in range(listed_before)}
+        self._knows_start = [False] * replicas  # of each replica: whether it knows of the cold servers' start
+        self._request_ids = itertools.count(1)
+        self._replicas = [self._start_replica(index, {}) for index in range(replicas)]
+        self._schedule_scenario()
+        self._run()
+
+    def _schedule_scenario(self) -> None:
+        start_at_ms = self._scenario.before_ms
+        self._schedule(start_at_ms, self._start_cold_servers)
+        for at_ms in self._scenario.replica_restarts_at_ms:
+            self._schedule(start_at_ms + at_ms, self._restart_replicas)
+        self._receive_request()
+
+    def _run(self) -> None:
+        end_at_ms = self._scenario.before_ms + self._scenario.after_ms
+        while self._events and self._events[0][0] <= end_at_ms:
+            self._now_ms, _, action = heapq.heappop(self._events)
+            action()
+
+    def _schedule(self, at_ms: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_ms, next(self._serials), action))
+
+    # Replicas
+
+    def _start_replica(self, index: int, requests: dict[str, SimulatedRequest]) -> Replica:
         settings = Settings(
-            classes=[work.cls for work in self.day.classes],
-            replicas=self.copies,
-            replica_index=number,
-            tier=self.day.tier,
+            classes=[work_class.request_class for work_class in self._scenario.work_classes],
+            replicas=self._replica_count,
+            replica_index=index,
+            tier=self._scenario.tier,
             tiers=3,
-            max_attempts=3,
-            start_capacity=START,
+            max_attempts=MAX_ATTEMPTS,
+            start_capacity=START_CAPACITY,
             ramp_time_ms=RAMP_MS,
-            overload_factor=FACTOR,
-            overload_window_ms=SPAN_MS,
+            overload_factor=OVERLOAD_FACTOR,
+            overload_window_ms=OVERLOAD_WINDOW_MS,
             tick_ms=1.0,
         )
-        node = Balancer(settings, self._rng.getrandbits(32))
-        self._do(number, node, NodeStarted())
-        self._do(number, node, self._list(self._told[number]))
-        return node
-
-    def _list(self, told: bool) -> EndpointUpdate:
-        def entry(id: int, machine: Machine) -> Endpoint:
-            started = machine.started_at_ms if told and machine.started_at_ms > -math.inf else None
-            return Endpoint(id, "z", "k", id % 2, started_at_ms=started)
-
-        old = self.day.again or not self.day.warm
-        listed = {id: m for id, m in self._machines.items() if told or old or id < self.day.warm}
-        return EndpointUpdate(UpdateKind.COMPLETE, 1, [entry(id, m) for id, m in listed.items()])
-
-    def _cold_start(self) -> None:
-        for n in range(self.day.cold):
-            self._machines[self.day.warm + n] = Machine(self._now, self._now)
-        for number in range(self.copies):
-            late = self._rng.random() * self.day.hear_ms
-            self._at(self._now + late, partial(self._hear, number))
-
-    def _hear(self, number: int) -> None:
-        self._told[number] = True
-        self._do(number, self._nodes[number], self._list(True))
-
-        if self.day.news_ms < math.inf:
-            self._at(self._now + self.day.news_ms, lambda: self._hear(number))
-
-    def _restart_some(self) -> None:
-        for number in self._rng.sample(range(self.copies), max(1, self.copies // 3)):
-            self._nodes[number] = self._start(number)
-
-    def _arrive(self) -> None:
-        """A request to one copy, and when the next one comes."""
-        able = self.day.warm or self.day.cold
-        load = self.day.load(self._now - self.day.before_ms)
-        self._at(self._now + self._rng.expovariate(load * able / self._mean_ms), self._arrive)
-        work = self._rng.choices(self.day.classes, [w.share for w in self.day.classes])[0]
-        number, self._ids = self._rng.randrange(self.copies), self._ids + 1
-        id, node = str(self._ids), self._nodes[number]
-        self._sent[number, id] = 0, work.work_ms * self._rng.uniform(0.7, 1.3)
-        self._do(number, node, RequestReceived(id, work.cls.name, work.cls.deadline_ms))
-
-    def _do(self, number: int, node: Balancer, event: PolicyEvent) -> None:
-        for action in node.handle(event, self._now):
+        replica = Replica(index, Balancer(settings, self._rng.getrandbits(32)), requests)
+        self._handle(replica, NodeStarted())
+        self._handle(replica, self._complete_list(knows_start=self._knows_start[index]))
+        return replica
+
+    def _restart_replicas(self) -> None:
+        for index in self._rng.sample(range(self._replica_count), max(1, self._replica_count // 3)):
+            self._replicas[index] = self._start_replica(index, self._replicas[index].requests)
+
+    def _complete_list(self, *, knows_start: bool) -> EndpointUpdate:
+        """Return the endpoint list, as discovery has it before or after the start of the cold servers."""
+        lists_all = knows_start or self._scenario.lists_cold_servers_before
+        endpoints = [
+            Endpoint(
+                server_id,
+                "z",
+                "k",
+                server_id % 2,
+                started_at_ms=server.started_at_ms if knows_start and server.has_started else None,
+            )
+            for server_id, server in self._servers.items()
+            if lists_all or server_id < self._scenario.warm
+        ]
+        return EndpointUpdate(UpdateKind.COMPLETE, 1, endpoints)
+
+    def _update_list(self, index: int) -> None:
+        self._knows_start[index] = True
+        self._handle(self._replicas[index], self._complete_list(knows_start=True))
+        if self._scenario.update_interval_ms < math.inf:
+            self._schedule(
+                self._now_ms + self._scenario.update_interval_ms, partial(self._update_list, index)
+            )
+
+    def _handle(self, replica: Replica, event: PolicyEvent) -> None:
+        for action in replica.balancer.handle(event, self._now_ms):
             if isinstance(action, SendAttempt):
-                self._send(number, node, action)
+                self._send(replica, action)
             elif isinstance(action, SetTimer):
                 fired = TimerFired(action.token)
-                self._at(self._now + action.delay_ms, partial(self._do, number, node, fired))
-
-    def _send(self, number: int, node: Balancer, send: SendAttempt) -> None:
-        attempt, work_ms = self._sent[number, send.request_id]
-        self._sent[number, send.request_id] = attempt + 1, work_ms
-        machine, sent_at_ms = self._machines[send.server_id], self._now
-        # What copies send that have not been told breaks no rule, and is not counted.
-        if machine.started_at_ms > -math.inf and self._told[number]:
-            machine.got.append((self._now, work_ms / self._mean_ms))
-        begins = max(self._now + HOP_MS, machine.free_ms)
-        machine.free_ms = begins + work_ms / machine.warmth(begins)
-        result, ends = Outcome.SUCCESS, machine.free_ms + HOP_MS
-        if ends > self._now + send.timeout_ms:
-            result, ends = Outcome.TIMEOUT, self._now + send.timeout_ms
-
-        def ended() -> None:
-            request_finished = result is Outcome.SUCCESS
-            event = AttemptEnded(
-                send.request_id, attempt, send.server_id, result, ends - sent_at_ms, request_finished
-            )
-            self._do(number, node, event)
-
-        self._at(ends, ended)
-
-    def _cold(self) -> list[Machine]:
-        return [machine for machine in self._machines.values() if machine.started_at_ms > -math.inf]
-
-    def worst(self) -> float:
-        """The most that a cold server got in any window, as a share of what it is allowed there."""
-        worst = 0.0
-        for machine in self._cold():
-            for first, (since, _) in enumerate(machine.got):
-                got = 0.0
-                for at, work in machine.got[first:]:
-                    if at - since >= SPAN_MS:
-                        break
-                    got += work
-                allowed = FACTOR * machine.warmth(since + SPAN_MS / 2.0) * SPAN_MS / self._mean_ms
-                worst = max(worst, got / (allowed + 2.0 * math.sqrt(allowed) + 2.0))
-        return worst
-
-    def sends(self) -> float:
-        """Requests of mean work that cold servers got, as a share of what they could serve meanwhile."""
-        able = sum(
-            (START + (1.0 - START) / 2.0) * self.day.after_ms / self._mean_ms for _ in range(self.day.cold)
+                self._schedule(self._now_ms + action.delay_ms, partial(self._handle, replica, fired))
+
+    # Servers
+
+    def _start_cold_servers(self) -> None:
+        for number in range(self._scenario.cold):
+            server = SimulatedServer(self._now_ms, self._now_ms)
+            self._servers[self._scenario.warm + number] = server
+        for index in range(self._replica_count):
+            delay_ms = self._rng.random() * self._scenario.update_spread_ms
+            self._schedule(self._now_ms + delay_ms, partial(self._update_list, index))
+
+    def _cold_servers(self) -> list[SimulatedServer]:
+        return [server for server in self._servers.values() if server.has_started]
+
+    # Requests
+
+    def _receive_request(self) -> None:
+        """Give a request to a random replica, and schedule the next one."""
+        scenario = self._scenario
+        load = scenario.load(self._now_ms - scenario.before_ms)
+        rate_per_ms = load * (scenario.warm or scenario.cold) / self._mean_work_ms
+        self._schedule(self._now_ms + self._rng.expovariate(rate_per_ms), self._receive_request)
+        fractions = [work_class.fraction for work_class in scenario.work_classes]
+        work_class = self._rng.choices(scenario.work_classes, fractions)[0]
+        replica = self._replicas[self._rng.randrange(self._replica_count)]
+        request_id = str(next(self._request_ids))
+        work_ms = work_class.work_ms * self._rng.uniform(*WORK_SPREAD)
+        replica.requests[request_id] = SimulatedRequest(work_ms)
+        kind = work_class.request_class
+        self._handle(replica, RequestReceived(request_id, kind.name, kind.deadline_ms))
+
+    def _send(self, replica: Replica, attempt: SendAttempt) -> None:
+        request = replica.requests[attempt.request_id]
+        attempt_number = request.attempts
+        request.attempts += 1
+        sent_at_ms = self._now_ms
+        server = self._servers[attempt.server_id]
+        # What replicas send that do not know of the start yet breaks no rule, and is not counted.
+        if server.has_started and self._knows_start[replica.index]:
+            server.received.append(ReceivedWork(sent_at_ms, request.work_ms / self._mean_work_ms))
+        begins_at_ms = max(sent_at_ms + HOP_MS, server.idle_at_ms)
+        server.idle_at_ms = begins_at_ms + request.work_ms / server.capacity_fraction(begins_at_ms)
+        outcome = Outcome.SUCCESS
+        ends_at_ms = server.idle_at_ms + HOP_MS
+        if ends_at_ms > sent_at_ms + attempt.timeout_ms:
+            outcome = Outcome.TIMEOUT
+            ends_at_ms = sent_at_ms + attempt.timeout_ms
+        ended = AttemptEnded(
+            attempt.request_id,
+            attempt_number,
+            attempt.server_id,
+            outcome,
+            duration_ms=ends_at_ms - sent_at_ms,
+            request_finished=outcome is Outcome.SUCCESS,
+        )
+        self._schedule(ends_at_ms, partial(self._handle, replica, ended))
+
+    # Results
+
+    def worst_window(self) -> float:
+        """Return the most that a cold server received in any window, as a ratio of what is allowed there."""
+        return max(
+            (
+                self._window_ratio(server, first)
+                for server in self._cold_servers()
+                for first in range(len(server.received))
+            ),
+            default=0.0,
         )
-        return sum(work for machine in self._cold() for _, work in machine.got) / able
+
+    def _window_ratio(self, server: SimulatedServer, first: int) -> float:
+        """Return what a server received in the window that a request begins, over what is allowed."""
+        begins_at_ms = server.received[first].at_ms
+        total = 0.0
+        for received in server.received[first:]:
+            if received.at_ms - begins_at_ms >= OVERLOAD_WINDOW_MS:
+                break
+            total += received.work_ratio
+        capacity_fraction = server.capacity_fraction(begins_at_ms + OVERLOAD_WINDOW_MS / 2.0)
+        allowed = OVERLOAD_FACTOR * capacity_fraction * OVERLOAD_WINDOW_MS / self._mean_work_ms
+        return total / (allowed + 2.0 * math.sqrt(allowed) + 2.0)
+
+    def sent_ratio(self) -> float:
+        """Return the work that cold servers received, as a ratio of what they could serve meanwhile."""
+        mean_capacity = START_CAPACITY + (1.0 - START_CAPACITY) / 2.0
+        served = self._scenario.cold * mean_capacity * self._scenario.after_ms / self._mean_work_ms
+        sent = sum(received.work_ratio for server in self._cold_servers() for received in server.received)
+        return sent / served
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from bench.decisions import Case, Program, Run, State
-from tests.coldfleet import Day, Fleet
+from tests.coldfleet import ColdFleet, Scenario
 from tests.helpers import Node, entries
 from tests.plain_selection import CheckedSelector, cut_subset
 from tests.test_property import play
@@ -30,7 +30,7 @@
 FEW, MANY = 30, 2000
 EVERYWHERE = (DeduplicationScope.ALL, None)
 CALLS = 150
-MOST_EXTRA_LOOKS = 12  # a call, warm-up calls (half as many again) included
+MAX_EXTRA_UPDATES = 12  # a call, warm-up calls (half as many again) included
 
 
 @pytest.fixture
@@ -44,19 +44,26 @@
 def test_picks_are_those_of_a_walk_on_random_days(checked: type[CheckedSelector]) -> None:
     @hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.integers(1, 9))
-    def histories(seed: int, attempts: int, tier: int, nodes: int) -> None:
-        play(seed, max_attempts=attempts, tier=tier, replicas=nodes, replica_index=seed % nodes)
+    def histories(seed: int, attempts: int, tier: int, replicas: int) -> None:
+        play(seed, max_attempts=attempts, tier=tier, replicas=replicas, replica_index=seed % replicas)
 
     histories()
     assert checked.checked > 5000
 
 
 @pytest.mark.parametrize(
-    "day",
-    [Day(), Day(restarts=(1500.0, 3000.0)), Day(load=lambda _: 1.3), Day(warm=0, load=lambda _: 0.9)],
+    "scenario",
+    [
+        Scenario(),
+        Scenario(replica_restarts_at_ms=(1500.0, 3000.0)),
+        Scenario(load=lambda _: 1.3),
+        Scenario(warm=0, load=lambda _: 0.9),
+    ],
 )
-def test_picks_are_those_of_a_walk_among_cold_servers(day: Day, checked: type[CheckedSelector]) -> None:
-    Fleet(replace(day, before_ms=4000.0), 6, 1)
+def test_picks_are_those_of_a_walk_among_cold_servers(
+    scenario: Scenario, checked: type[CheckedSelector]
+) -> None:
+    ColdFleet(replace(scenario, before_ms=4000.0), replicas=6, seed=1)
     assert checked.checked > 500
 
 
@@ -99,26 +106,27 @@
 @given(st.integers(0, 2**32))
 def test_a_subset_kept_up_to_date_is_that_of_a_whole_cut(seed: int) -> None:
     rng = Random(seed)
-    nodes = rng.choice((1, 2, 5, 9, 33))
-    number, shares = rng.randrange(nodes + 3), dict[int, float]()
-    subset = Subset(number, nodes, 4)
+    replicas = rng.choice((1, 2, 5, 9, 33))
+    replica_index = rng.randrange(replicas + 3)
+    weights: dict[int, float] = {}
+    subset = Subset(replica_index, replicas, 4)
     for _ in range(12):
         before = dict(subset.portions)
         for member in rng.sample(range(200), rng.choice((1, 2, 150))):
             if rng.random() < 0.4:
-                shares.pop(member, None)
+                weights.pop(member, None)
                 subset.remove(member)
             else:
-                shares[member] = rng.choice((1.0, 0.5, 2.0)) if seed % 2 else 1.0
-                subset.set_weight(member, shares[member])
+                weights[member] = rng.choice((1.0, 0.5, 2.0)) if seed % 2 else 1.0
+                subset.set_weight(member, weights[member])
         slices = rng.choice((4, 4, 8, 16))
         subset.use_slices(slices)
         changed = subset.update()
-        expected = {m: part for m, part in cut_subset(shares, number, nodes, slices).items() if part > 1e-9}
+        plain = cut_subset(weights, replica_index, replicas, slices)
+        expected = {member: portion for member, portion in plain.items() if portion > 1e-9}
         assert subset.portions == pytest.approx(expected)
-        assert {
-            m for m in before.keys() | subset.portions if before.get(m) != subset.portions.get(m)
-        } <= changed
+        members = before.keys() | subset.portions
+        assert {m for m in members if before.get(m) != subset.portions.get(m)} <= changed
 
 
 def test_groups_hold_what_was_put_in_and_draw_a_part_of_it() -> None:
@@ -142,15 +150,15 @@
     assert set(draws) == set(zones) and max(draws.values()) < 2 * min(draws.values())
 
 
-def looks(monkeypatch: pytest.MonkeyPatch, case: Case) -> int:
-    """How often servers are looked at in a run of the bench."""
+def count_updates(monkeypatch: pytest.MonkeyPatch, case: Case) -> int:
+    """Return how often the speed of a server is worked out in a run of the bench."""
     count = 0
-    speed = Server.speed_factor
+    speed_factor = Server.speed_factor
 
-    def counted(self: Server, now: float, usual_share: float) -> float:
+    def counted(self: Server, now_ms: float, objective_ratio: float) -> float:
         nonlocal count
         count += 1
-        return speed(self, now, usual_share)
+        return speed_factor(self, now_ms, objective_ratio)
 
     with monkeypatch.context() as patch:
         run = Run(Program(), case)
@@ -163,10 +171,10 @@
 def test_what_a_call_looks_at_does_not_grow_with_the_list(
     state: State, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    few, many = (looks(monkeypatch, Case(servers, 1, state, CALLS)) for servers in (FEW, MANY))
-    # Besides two looks at its own server, a call brings some at those whose time has come.
+    few, many = (count_updates(monkeypatch, Case(servers, 1, state, CALLS)) for servers in (FEW, MANY))
+    # Besides two updates of its own server, a call brings some of those that are due.
     print(f"{state.value}: {few / CALLS:.2f} a call with {FEW} servers, {many / CALLS:.2f} with {MANY}")
-    assert many <= 1.15 * few + MOST_EXTRA_LOOKS * CALLS
+    assert many <= 1.15 * few + MAX_EXTRA_UPDATES * CALLS
 
 
 def test_a_list_with_nothing_new_looks_at_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -177,15 +185,15 @@
 
 def test_a_change_looks_at_the_server_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
     node = Node(servers=200)
-    looked: list[int] = []
+    updated: list[int] = []
 
-    def speed(server: Server, *_: float) -> float:
-        looked.append(server.id)
+    def speed_factor(server: Server, *_: float) -> float:
+        updated.append(server.id)
         return 1.0
 
-    monkeypatch.setattr(Server, "speed_factor", speed)
+    monkeypatch.setattr(Server, "speed_factor", speed_factor)
     node.change(Endpoint(7, "z", "k", 1, weight=2.0))
-    assert set(looked) == {7}
+    assert set(updated) == {7}
 
 
 def test_a_cold_server_that_is_seldom_looked_at_saves_up_no_more() -> None:
@@ -199,18 +207,16 @@
         overload_window_ms=1e6,
     )
     saved = []
-    for bucket, step in ((often, 10), (seldom, 2000)):
+    for bucket, step_ms in ((often, 10), (seldom, 2000)):
         node = balancer.Balancer(settings, 1)
         node.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(1, started_at_ms=0.0)]), 0.0)
-        server, start = node.fleet.servers[1], node._slow_start
+        server = node.fleet.servers[1]
+        slow_start = node._slow_start
         server.cold_budget = bucket
-        for now in range(0, 4001, step):
-            start.refill_cold_budget(
-                server,
-                start.capacity_fraction(server, float(now)),
-                node.fleet.total_subset_weight,
-                float(now),
-            )
+        for now_ms in map(float, range(0, 4001, step_ms)):
+            capacity_fraction = slow_start.capacity_fraction(server, now_ms)
+            total_weight = node.fleet.total_subset_weight
+            slow_start.refill_cold_budget(server, capacity_fraction, total_weight, now_ms)
         saved.append(bucket.tokens)
     assert saved[1] == pytest.approx(saved[0], rel=0.05)
 
@@ -258,6 +264,6 @@
     cold = node.balancer.fleet.servers[9]
     cold.cold_budget.tokens = 0.0
     node.balancer._selector.update(cold, node.now)
-    began = node.now
+    began_at_ms = node.now
     while 9 not in node.serve(1, gap_ms=0.0, delay_ms=10.0):
-        assert node.now - began < 1_600.0
+        assert node.now - began_at_ms < 1_600.0
