--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenNode:
-    """A fault put into the program, the trouble that brings it out, and the rule that it breaks."""
+    """A fault put into the program, the faults that bring it out, and the rule that it breaks."""
 
     name: str
     rule: Rule
@@ -44,153 +44,176 @@
             path.write_text(text.replace(patch.old, patch.new), encoding="utf-8")
 
 
-GUARD = "workspond/upstream/send_guard.py"
-CALLER, NODE = "workspond/downstream/client_connection.py", "workspond/node.py"
-RETRIES = "workspond/policy/retry_policy.py"
-SELECTION = "workspond/policy/server_selection.py"
+CLIENT_CONNECTION = "workspond/downstream/client_connection.py"
+CONNECTION_STATES = "workspond/downstream/connection_states.py"
+ENDPOINT_LIST = "workspond/discovery/endpoint_list.py"
 WATCHER = "workspond/discovery/watcher.py"
-POOL = "workspond/upstream/connection_pool.py"
+SERVER_CONNECTION = "workspond/upstream/connection.py"
+SEND_GUARD = "workspond/upstream/send_guard.py"
+NODE = "workspond/node.py"
+ATTEMPT_RUNNER = "workspond/attempt_runner.py"
+SHUTDOWN = "workspond/graceful_shutdown.py"
+MAIN = "workspond/__main__.py"
+RETRY_POLICY = "workspond/policy/retry_policy.py"
+SELECTION = "workspond/policy/server_selection.py"
+SLOW_START = "workspond/policy/slow_start.py"
+
+RETRIES_ANYTHING = Patch(
+    RETRY_POLICY,
+    "if call.first_possible_run_at_ms is None or call.request_class.idempotency is Idempotency.IDEMPOTENT:",
+    "if True:",
+)
+
 BROKEN_NODES = (
     BrokenNode(
-        "callers that have gone are not noticed",
-        Rule.GONE,
+        "clients that have disconnected are not noticed",
+        Rule.DISCONNECTED,
         (FaultKind.CALLERS_LEAVE, FaultKind.SERVER_ERRORS),
         (
-            Patch(CALLER, "            taken.abandon(why)\n", "            pass\n"),
+            Patch(CLIENT_CONNECTION, "            request.abandon(reason)\n", "            pass\n"),
             Patch(
-                CALLER,
-                "if self._ended or self._transport.is_closing():\n            return True",
+                CLIENT_CONNECTION,
+                "if self._is_input_ended or self._transport.is_closing():\n            return True",
                 "if True:\n            return False",
             ),
         ),
-        rate=5.0,  # callers that leave have to meet failures, and their requests' retries
+        rate=5.0,  # clients that leave have to meet failures, and their requests' retries
     ),
     BrokenNode(
         "drains are ignored",
         Rule.DRAIN,
         (FaultKind.SERVER_DRAIN,),
-        (
-            Patch(
-                "workspond/config.py",
-                '"leaving": EndpointState.DRAINING',
-                '"leaving": EndpointState.IN_SERVICE',
-            ),
-        ),
+        (Patch(ENDPOINT_LIST, '"leaving": EndpointState.DRAINING', '"leaving": EndpointState.IN_SERVICE'),),
     ),
     BrokenNode(
-        "an unsafe request is sent again",
+        "a non-idempotent request is sent again",
         Rule.DUPLICATE,
         (FaultKind.PROXY_RESET, FaultKind.SERVER_ERRORS),
-        (
-            Patch(RETRIES, "if call.first_run_ms is None or call.cls.repeat is Repeat.SAFE:", "if True:"),
-            Patch(GUARD, "if attempts.may_have_run and", "if False and"),
-        ),
+        (RETRIES_ANYTHING, Patch(SEND_GUARD, "if history.may_have_run and", "if False and")),
     ),
     BrokenNode(
-        "an unsafe request is sent again, and the node's own gate holds it back",
+        "a non-idempotent request is sent again, and the node's own guard blocks it",
         Rule.INVARIANT,
         (FaultKind.PROXY_RESET, FaultKind.SERVER_ERRORS),
-        (Patch(RETRIES, "if call.first_run_ms is None or call.cls.repeat is Repeat.SAFE:", "if True:"),),
+        (RETRIES_ANYTHING,),
     ),
     BrokenNode(
         "the deadline is passed on as it came",
         Rule.DEADLINE,
         (FaultKind.PROXY_HOLD, FaultKind.SERVER_ERRORS),
-        (Patch(NODE, "max(0.0, due_ms - now_ms()))", "live.message.budget_ms)"),),
+        (
+            Patch(
+                ATTEMPT_RUNNER,
+                "timeout_ms = max(0.0, self.timeout_at_ms - now_ms())",
+                "timeout_ms = self.request.message.budget_ms",
+            ),
+        ),
     ),
     BrokenNode(
-        "cold servers get all that there is, whatever they hold",
-        Rule.FAILBACK,
+        "servers that warm up get all that there is, whatever they have in flight",
+        Rule.SLOW_START,
         (FaultKind.SERVER_RESTART,),
         (
             Patch(
-                "workspond/policy/slow_start.py",
+                SLOW_START,
                 "if server.started_at_ms is None or not settings.ramp_time_ms:\n            return 1.0",
                 "return 1.0 if server.started_at_ms is None else 50.0",
             ),
             Patch(
                 SELECTION,
-                "speed = max(warmth * server.speed(now, self._usual.share), LEAST_SPEED)",
-                "speed = warmth",
+                "return max(server.subset_weight * max(capacity_fraction * speed_factor, MIN_SPEED_FACTOR),"
+                " MIN_WEIGHT)",
+                "return max(server.subset_weight * capacity_fraction, MIN_WEIGHT)",
             ),
             Patch(
                 SELECTION,
-                "selectable = has_budget and server.inflight < server.inflight_limit",
+                "selectable = has_budget and server.in_flight < server.in_flight_limit",
                 "selectable = has_budget",
             ),
             Patch(
                 SELECTION,
-                "rotation, (server.inflight - lost) / server.part, weight)",
+                "rotation, (server.in_flight - stalled_calls) / server.subset_weight, weight)",
                 "rotation, 0.0, weight)",
             ),
         ),
     ),
     BrokenNode(
-        "a planned end closes connections over requests",
+        "a graceful shutdown closes connections over requests",
         Rule.LOST,
         (FaultKind.NODE_STOP,),
-        (Patch(NODE, "        self.frontend.fail_ready_checks()\n", "        self.frontend.abort()\n"),),
+        (Patch(SHUTDOWN, "self._frontend.fail_ready_checks()\n", "self._frontend.abort()\n"),),
     ),
     BrokenNode(
-        "changes of the list are not taken",
+        "incremental updates are not taken",
         Rule.DRAIN,
         (FaultKind.SERVER_DRAIN,),
         (
             Patch(
                 WATCHER,
-                "if listing.whole or listing.entries:\n            self._news",
-                "if listing.whole:\n            self._news",
+                "if _has_content(endpoints):\n            self._listener.endpoints_received(endpoints)",
+                "if endpoints.complete:\n            self._listener.endpoints_received(endpoints)",
             ),
         ),
     ),
     BrokenNode(
-        "answers are swapped",
+        "responses are swapped",
         Rule.LOST,
         (FaultKind.SERVER_SLOW,),
         (
             Patch(
-                NODE,
-                "Reply(200, answer.body, answer.content_type)",
-                "Reply(200, vars(self).setdefault('_swap', [b'']).pop(), answer.content_type)",
+                ATTEMPT_RUNNER,
+                "Response(200, response.body, response.content_type)",
+                "Response(200, vars(self).setdefault('_swap', [b'']).pop(), response.content_type)",
             ),
             Patch(
-                NODE,
-                "            settled = action.id not in self._live\n            report",
-                "            settled = action.id not in self._live\n"
-                "            vars(self).setdefault('_swap', []).append(answer.body if answer else b'')\n"
-                "            report",
+                ATTEMPT_RUNNER,
+                "        self._policy.handle(\n            AttemptEnded(\n                request.key,\n",
+                "        vars(self).setdefault('_swap', []).append(response.body if response else b'')\n"
+                "        self._policy.handle(\n            AttemptEnded(\n                request.key,\n",
             ),
         ),
     ),
     BrokenNode(
-        "a reset ends an answer with no length",
+        "a reset ends a response with no length",
         Rule.LOST,
         (FaultKind.SERVER_NO_LENGTH,),
         (
             Patch(
-                POOL,
-                "        self._lost = True\n        self._pool.forget(self)\n",
-                "        self.eof_received()\n        self._lost = True\n        self._pool.forget(self)\n",
+                SERVER_CONNECTION,
+                "        self._is_open = False\n        self._owner.forget(self)\n",
+                "        self.eof_received()\n        self._is_open = False\n        self._owner.forget(self)\n",
             ),
         ),
     ),
     BrokenNode(
-        "attempts are given up and left open",
+        "attempts are aborted and left open",
         Rule.DUPLICATE,
         (FaultKind.PROXY_HOLD, FaultKind.SERVER_HANG),
-        (Patch(POOL, "        attempt.carried_by(self.close)\n", ""),),
+        (Patch(SERVER_CONNECTION, "        attempt.carrier = self\n", ""),),
     ),
     BrokenNode(
         "failures are not answered",
         Rule.LOST,
         (FaultKind.SERVER_ERRORS,),
-        (Patch(NODE, 'self._finish(action.id, Reply(502, b"failed"))', "self._drop(self._live[action.id])"),),
+        (
+            Patch(
+                NODE,
+                'self._requests.finish(action.request_id, Response(502, b"failed"))',
+                "self._requests._remove(self._requests.active[action.request_id])",
+            ),
+        ),
     ),
     BrokenNode(
         "half a request is waited for without end",
         Rule.PEER,
         (FaultKind.CALLERS_HALF,),
-        (Patch("workspond/downstream/connection_states.py", "    Stage.NEW: 2.0,", "    Stage.NEW: 20.0,"),),
+        (
+            Patch(
+                CONNECTION_STATES,
+                "    ConnectionState.AWAITING_FIRST_REQUEST: 2.0,",
+                "    ConnectionState.AWAITING_FIRST_REQUEST: 20.0,",
+            ),
+        ),
     ),
     BrokenNode(
         "the process ends at a reload",
@@ -198,8 +221,8 @@
         (FaultKind.NODE_RELOAD,),
         (
             Patch(
-                "workspond/__main__.py",
-                "    loop.add_signal_handler(signal.SIGHUP, reload, node, path)\n",
+                MAIN,
+                "    loop.add_signal_handler(signal.SIGHUP, ConfigReloader(node, path).reload)\n",
                 "",
             ),
         ),
