--- a/soak/records.py
+++ b/soak/records.py
@@ -20,10 +20,6 @@
     CRASH = "crash"  # a process that ended unasked, did not get ready, or did not end
     INVARIANT = "invariant"  # the node's own count
 
-    # Older names of two rules, which tests use.
-    FAILBACK = "failback"
-    GONE = "gone"
-
 
 @dataclass(frozen=True, slots=True)
 class Violation:
--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -181,7 +181,8 @@
             Patch(
                 SERVER_CONNECTION,
                 "        self._is_open = False\n        self._owner.forget(self)\n",
-                "        self.eof_received()\n        self._is_open = False\n        self._owner.forget(self)\n",
+                "        self.eof_received()\n"
+                "        self._is_open = False\n        self._owner.forget(self)\n",
             ),
         ),
     ),
