--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -29,7 +29,6 @@
 )
 from workspond.policy.settings import Idempotency, RequestClass, Settings
 
-
 REQUESTS_PER_S = 160.0
 RESPONSE_AFTER_MS = 10.0
 CONNECT_FAILED_AFTER_MS = 0.1
--- a/standins/messages.py
+++ b/standins/messages.py
@@ -40,18 +40,6 @@
         """The X-Call-Id of a request; raises `KeyError` where there is none."""
         return self.headers["x-call-id"]
 
-    # Older names, which tests use.
-
-    @property
-    def first(self) -> str:
-        """The start line."""
-        return self.start_line
-
-    @property
-    def id(self) -> str:
-        """The request id."""
-        return self.request_id
-
 
 @dataclass(frozen=True, slots=True)
 class Response:
--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from tests.peers import LIMIT_S, World, request, until
+from tests.peers import LIMIT_S, NodeEnvironment, request, until
 from workspond.downstream.connection_states import ConnectionState
 from workspond.node import Node
 
@@ -16,22 +16,22 @@
 }
 
 
-def running_node(scene: World) -> Node:
+def running_node(environment: NodeEnvironment) -> Node:
     """The node of a scene that runs in this process."""
-    assert scene.node is not None
-    return scene.node
+    assert environment.node is not None
+    return environment.node
 
 
-async def ready_node(scene: World) -> Node:
+async def ready_node(environment: NodeEnvironment) -> Node:
     """The node of a scene, once it has servers to send to."""
-    node = running_node(scene)
+    node = running_node(environment)
     await until(node.is_ready)
     return node
 
 
-def open_connections(scene: World) -> int:
+def open_connections(environment: NodeEnvironment) -> int:
     """How many connections of clients the node holds."""
-    return running_node(scene).frontend.connection_count()
+    return running_node(environment).frontend.connection_count()
 
 
 def open_requests(node: Node) -> int:
@@ -40,12 +40,12 @@
     return len(node._requests.active)
 
 
-async def connect(scene: World) -> socket.socket:
+async def connect(environment: NodeEnvironment) -> socket.socket:
     """A client's socket that the node has accepted; it does nothing by itself."""
-    await ready_node(scene)
-    before = open_connections(scene)
-    client = socket.create_connection(scene.address, LIMIT_S)
-    await until(lambda: open_connections(scene) == before + 1)
+    await ready_node(environment)
+    before = open_connections(environment)
+    client = socket.create_connection(environment.address, LIMIT_S)
+    await until(lambda: open_connections(environment) == before + 1)
     return client
 
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,8 +1,4 @@
-"""A node among stand-ins for tests over sockets, on 127.0.0.1.
-
-The stand-ins are those of `standins`. The names `Caller`, `Peer`, `Registry`, `Seen`, `Server`, `answer`,
-`request` and the properties of these classes are older names for them, kept for the tests that use them.
-"""
+"""A node among stand-ins for tests over sockets, on 127.0.0.1."""
 
 from __future__ import annotations
 
@@ -38,28 +34,27 @@
     "HANG",
     "LIMIT_S",
     "RESET",
-    "Caller",
-    "Peer",
-    "Registry",
-    "Seen",
+    "Client",
+    "Message",
+    "NodeEnvironment",
+    "ScriptedDiscoveryAgent",
+    "ScriptedListener",
     "Server",
-    "World",
-    "answer",
     "free_port",
+    "node_environment",
     "read_message",
+    "render_response",
     "request",
     "run",
     "settings",
     "until",
-    "world",
 ]
 
 LIMIT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
 POLL_INTERVAL_S = 0.005
 SEED = "8c1f30d27a5be964"
 
-Seen = Message
-answer = render_response
+DEFAULT_RESPONSE = render_response()
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -80,95 +75,22 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
-class Peer(ScriptedListener):
-    """A listener that answers by a script."""
-
-    @property
-    def seen(self) -> list[Message]:
-        """The messages received."""
-        return self.received
-
-    @property
-    def lost(self) -> int:
-        """How many connections have ended."""
-        return self.closed_connections
-
-    def hang_up(self) -> None:
-        """Close every connection."""
-        self.close_connections()
-
-
-class Server(ScriptedServer, Peer):
-    """A server; its script is used up one by one, then comes `usual`."""
-
-    def __init__(self, *script: bytes, usual: bytes = answer(), name: str = "s", group: int = 0) -> None:
-        super().__init__(*script, default=usual, name=name, group=group)
-
-    @property
-    def left(self) -> list[bytes]:
-        """The answers of the script that are still to come."""
-        return self.remaining_script
-
-    @left.setter
-    def left(self, script: list[bytes]) -> None:
-        self.remaining_script = script
-
-    @property
-    def usual(self) -> bytes:
-        """The answer once the script is used up."""
-        return self.default
+class Server(ScriptedServer):
+    """A server whose default response is 200."""
 
-    @usual.setter
-    def usual(self, data: bytes) -> None:
-        self.default = data
+    def __init__(
+        self, *script: bytes, default: bytes = DEFAULT_RESPONSE, name: str = "s", group: int = 0
+    ) -> None:
+        super().__init__(*script, default=default, name=name, group=group)
 
 
-class Registry(ScriptedDiscoveryAgent, Peer):
-    """A discovery agent: holds watches until `tell`; `spoil` replaces the next answers."""
-
-    @property
-    def whole(self) -> list[dict[str, Any]]:
-        """The complete list."""
-        return self.endpoints
-
-    @whole.setter
-    def whole(self, entries: list[dict[str, Any]]) -> None:
-        self.endpoints = entries
-
-    @property
-    def news(self) -> asyncio.Queue[bytes]:
-        """The responses for watches."""
-        return self.updates
-
-    @property
-    def spoil(self) -> list[bytes]:
-        """What replaces the next responses."""
-        return self.faulty_responses
-
-    @spoil.setter
-    def spoil(self, responses: list[bytes]) -> None:
-        self.faulty_responses = responses
-
-    def tell(self, *entries: dict[str, Any], index: int | None = None, snapshot: bool = False) -> None:
-        """Publish an update."""
-        self.publish(*entries, index=index, snapshot=snapshot)
-
-    def listing(self, entries: list[dict[str, Any]], snapshot: bool) -> bytes:
-        """A response with these entries."""
-        return self.render_list(entries, complete=snapshot)
-
-
-class Caller(ClientConnection):
+class Client(ClientConnection):
     """A client's connection that renders its requests."""
 
     async def ask(self, *args: Any, **kwargs: Any) -> Message:
         """Send what `request` renders of the arguments and read the response."""
         return await self.send(request(*args, **kwargs))
 
-    async def ask_path(self, path: str) -> Message:
-        """Send a GET without headers and read the response."""
-        return await self.get(path)
-
 
 def request(
     request_id: str,
@@ -186,44 +108,44 @@
 
 
 @dataclass
-class World:
+class NodeEnvironment:
     """A node among its peers."""
 
     config: dict[str, Any]
     path: Path
-    registry: Registry
+    agent: ScriptedDiscoveryAgent
     servers: list[Server]
     node: Node | None = None
     address: tuple[str, int] = ("", 0)
-    callers: list[Caller] = field(default_factory=list)
+    clients: list[Client] = field(default_factory=list)
     processes: list[asyncio.subprocess.Process] = field(default_factory=list)
 
-    async def begin(self) -> None:
+    async def start_node(self) -> None:
         """Start a node in this process, by the configuration file as it is now."""
         loop = asyncio.get_running_loop()
         node = self.node = Node(read_config(str(self.path)), loop)
         self.address = await node.frontend.listen(loop, ("127.0.0.1", 0))
         node.start()
 
-    async def caller(self) -> Caller:
+    async def client(self) -> Client:
         """A new client's connection."""
-        caller = Caller(*await asyncio.open_connection(*self.address), timeout_s=LIMIT_S)
-        self.callers.append(caller)
-        return caller
+        client = Client(*await asyncio.open_connection(*self.address), timeout_s=LIMIT_S)
+        self.clients.append(client)
+        return client
 
     async def ask(self, *args: Any, **kwargs: Any) -> Message:
         """Send a request on a new connection and read the response."""
-        return await (await self.caller()).ask(*args, **kwargs)
+        return await (await self.client()).ask(*args, **kwargs)
 
     async def end(self) -> None:
         """End clients, processes, peers and the node, whatever the test has left of them."""
-        for caller in self.callers:
-            caller.writer.close()
+        for client in self.clients:
+            client.writer.close()
         for process in self.processes:  # one left behind by a test that fails would call on others' ports
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-        for peer in (self.registry, *self.servers):
+        for peer in (self.agent, *self.servers):
             await peer.stop()
         if self.node is not None:
             await self.node.stop(0.0)
@@ -244,11 +166,11 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def node_environment(
     path: Path, *servers: Server, start: bool = True, sockets: int = 1024, known: bool = True, **changes: Any
-) -> AsyncIterator[World]:
+) -> AsyncIterator[NodeEnvironment]:
     """A node with these servers, its discovery, and a configuration file."""
-    registry = Registry()
+    registry = ScriptedDiscoveryAgent()
     for peer in (registry, *servers):
         await peer.start()
     registry.endpoints = [server.entry() for server in servers]
@@ -263,10 +185,10 @@
     )
     file = path / "config.json"
     file.write_text(json.dumps(config))
-    scene = World(config, file, registry, list(servers))
+    environment = NodeEnvironment(config, file, registry, list(servers))
     if start:
-        await scene.begin()
+        await environment.start_node()
     try:
-        yield scene
+        yield environment
     finally:
-        await scene.end()
+        await environment.end()
--- a/tests/program.py
+++ b/tests/program.py
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-from tests.peers import LIMIT_S, World
+from tests.peers import LIMIT_S, NodeEnvironment
 from tests.test_wire import ROOT
 from workspond.address import Address, parse_address
 
@@ -18,23 +18,23 @@
 class Program:
     """A process that runs the program."""
 
-    def __init__(self, process: asyncio.subprocess.Process, scene: World) -> None:
+    def __init__(self, process: asyncio.subprocess.Process, environment: NodeEnvironment) -> None:
         self.process = process
-        self.scene = scene
+        self.environment = environment
 
     @classmethod
-    async def start(cls, scene: World, descriptors: int | None = None) -> Program:
+    async def start(cls, environment: NodeEnvironment, descriptors: int | None = None) -> Program:
         """Start the program with the scene's configuration, and wait until it listens."""
-        program = cls(await spawn(scene.path, descriptors), scene)
-        scene.processes.append(program.process)
-        scene.address = await read_listen_address(program.process)
+        program = cls(await spawn(environment.path, descriptors), environment)
+        environment.processes.append(program.process)
+        environment.address = await read_listen_address(program.process)
         return program
 
     async def refuses(self) -> None:
         """Wait until the listener is closed."""
         async with asyncio.timeout(LIMIT_S):
             while True:
-                if not await can_connect(self.scene.address):
+                if not await can_connect(self.environment.address):
                     return
                 await asyncio.sleep(CONNECT_POLL_S)
 
--- a/tests/test_agent_client.py
+++ b/tests/test_agent_client.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.peers import CLOSE, HANG, RESET, Server, answer, run, until
+from tests.peers import CLOSE, HANG, RESET, Server, render_response, run, until
 from workspond.discovery import agent_client
 from workspond.discovery.agent_client import AgentClient, CallFailure
 
@@ -57,16 +57,16 @@
 
 def test_calls_share_a_connection_as_long_as_the_agent_keeps_it() -> None:
     async def test() -> None:
-        closing = answer(404, b"two", "Connection: close\r\n")
-        agent = Server(answer(200, b"one"), closing, answer(200, b"three"))
+        closing = render_response(404, b"two", "Connection: close\r\n")
+        agent = Server(render_response(200, b"one"), closing, render_response(200, b"three"))
         async with calling(agent) as (client, owner):
             for count in range(1, 4):
                 client.call(f"/{count}", 20.0)
                 assert client.is_busy
                 await owner.response(count)
             assert owner.responses == [(200, b"one"), (404, b"two"), (200, b"three")]
-            assert [seen.target for seen in agent.seen] == ["/1", "/2", "/3"]
-            assert [seen.connection for seen in agent.seen] == [1, 1, 2]
+            assert [seen.target for seen in agent.received] == ["/1", "/2", "/3"]
+            assert [seen.connection for seen in agent.received] == [1, 1, 2]
             assert not owner.failures
 
     run(test())
@@ -76,7 +76,7 @@
     ("data", "reason"),
     [
         (b"\x00 not HTTP\r\n\r\n", CallFailure.MALFORMED_RESPONSE),
-        (answer(200, b"one") + b"\x00 noise", CallFailure.MALFORMED_RESPONSE),
+        (render_response(200, b"one") + b"\x00 noise", CallFailure.MALFORMED_RESPONSE),
         (b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 9_000_000, CallFailure.RESPONSE_TOO_LARGE),
         (HALF, CallFailure.RESPONSE_STALLED),
         (HALF + CLOSE, CallFailure.CONNECTION_LOST),
@@ -135,17 +135,17 @@
 
 def test_a_closed_client_reports_nothing_and_a_response_without_a_call_closes_the_connection() -> None:
     async def test() -> None:
-        agent = Server(HANG, answer(200, b"one"))
+        agent = Server(HANG, render_response(200, b"one"))
         async with calling(agent) as (client, owner):
             client.call("/", 20.0)
-            await until(lambda: len(agent.seen) == 1)
+            await until(lambda: len(agent.received) == 1)
             client.close()
-            await until(lambda: agent.lost == 1)
+            await until(lambda: agent.closed_connections == 1)
             client.call("/", 20.0)
             await owner.response(1)
             for writer in agent._writers:
-                writer.write(answer(200, b"two"))
-            await until(lambda: agent.lost == 2)
+                writer.write(render_response(200, b"two"))
+            await until(lambda: agent.closed_connections == 2)
             client.call("/", 20.0)
             await owner.response(2)
             assert owner.responses == [(200, b"one"), (200, b"done")]
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -19,7 +19,17 @@
     running_node,
     state_count,
 )
-from tests.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
+from tests.peers import (
+    HANG,
+    LIMIT_S,
+    NodeEnvironment,
+    Server,
+    node_environment,
+    render_response,
+    request,
+    run,
+    until,
+)
 from workspond.downstream import connection_states, frontend
 from workspond.downstream.client_connection import ClientConnection
 from workspond.downstream.connection_states import ConnectionState
@@ -46,14 +56,14 @@
     """Without a timeout it would hold its socket for ever."""
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            client = await scene.caller()
+        async with node_environment(tmp_path, Server()) as environment:
+            client = await environment.client()
             if is_used:
                 assert (await client.ask("before")).status == 200
             client.write(data)
             assert (await client.read()).status == 408
             assert await client.closed()
-            await until(lambda: open_connections(scene) == 0)
+            await until(lambda: open_connections(environment) == 0)
 
     run(test())
 
@@ -62,8 +72,8 @@
 def test_silent_and_idle_callers_are_closed_but_not_those_that_wait_for_their_answer(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            silent, idle, waiting = [await scene.caller() for _ in range(3)]
+        async with node_environment(tmp_path, server) as environment:
+            silent, idle, waiting = [await environment.client() for _ in range(3)]
             assert (await idle.ask("idle")).status == 200
             server.gate.clear()
             waiting.write(request("waiting"))
@@ -74,11 +84,11 @@
     run(test())
 
 
-async def connect_slow_reader(scene: World, client: socket.socket) -> ClientConnection:
+async def connect_slow_reader(environment: NodeEnvironment, client: socket.socket) -> ClientConnection:
     """Connect a client; its socket and the node's own for it have very small buffers."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    await asyncio.to_thread(client.connect, scene.address)
-    connections = running_node(scene).frontend.connections
+    await asyncio.to_thread(client.connect, environment.address)
+    connections = running_node(environment).frontend.connections
     await until(lambda: len(connections) == 1)
     [connection] = connections.in_state(ConnectionState.AWAITING_FIRST_REQUEST)
     node_socket = connection._transport.get_extra_info("socket")
@@ -91,11 +101,13 @@
     """Else its responses stay in memory, and closing its connection waits for it to read."""
 
     async def test() -> None:
-        async with world(tmp_path, Server(usual=answer(200, b"x" * 65536))) as scene:
+        async with node_environment(
+            tmp_path, Server(default=render_response(200, b"x" * 65536))
+        ) as environment:
             with socket.socket() as client:
-                await connect_slow_reader(scene, client)
+                await connect_slow_reader(environment, client)
                 client.sendall(b"".join(request(f"{n}") for n in range(8)))
-                await until(lambda: open_connections(scene) == 0)
+                await until(lambda: open_connections(environment) == 0)
 
     run(test())
 
@@ -105,18 +117,18 @@
     """Its connection closes only once all is written; its request must not be retried till then."""
 
     async def test() -> None:
-        server = Server(answer(200, b"x" * 40_000), usual=HANG)
-        async with world(tmp_path, server) as scene:
-            node = running_node(scene)
+        server = Server(render_response(200, b"x" * 40_000), default=HANG)
+        async with node_environment(tmp_path, server) as environment:
+            node = running_node(environment)
             with socket.socket() as client:
-                await connect_slow_reader(scene, client)
+                await connect_slow_reader(environment, client)
                 client.sendall(request("a") + request("b"))
-                await until(lambda: len(server.seen) == 2)
+                await until(lambda: len(server.received) == 2)
                 assert open_requests(node) == 1
                 client.shutdown(socket.SHUT_WR)
                 async with asyncio.timeout(5.0):  # its budget is 20 s
                     await until(lambda: open_requests(node) == 0)
-                assert open_connections(scene) == 1  # what was written has not been read yet
+                assert open_connections(environment) == 1  # what was written has not been read yet
 
     run(test())
 
@@ -126,20 +138,20 @@
     """Nothing is read from it meanwhile, nor is its end: its next request must not be sent all the same."""
 
     async def test() -> None:
-        server = Server(usual=answer(200, b"x" * 65536))
-        async with world(tmp_path, server) as scene:
+        server = Server(default=render_response(200, b"x" * 65536))
+        async with node_environment(tmp_path, server) as environment:
             with socket.socket() as client:
-                connection = await connect_slow_reader(scene, client)
+                connection = await connect_slow_reader(environment, client)
                 client.settimeout(LIMIT_S)
                 client.sendall(b"".join(request(f"{n}") for n in range(8)))
                 await until(lambda: connection._is_writing_paused)
                 client.sendall(b"".join(request(f"unread-{n}") for n in range(2)))
                 client.shutdown(socket.SHUT_WR)
-                sent = len(server.seen)
+                sent = len(server.received)
                 while await asyncio.to_thread(client.recv, 65536):
                     pass
-                await until(lambda: open_connections(scene) == 0)
-                assert 1 <= sent < 8 and len(server.seen) == sent
+                await until(lambda: open_connections(environment) == 0)
+                assert 1 <= sent < 8 and len(server.received) == sent
 
     run(test())
 
@@ -152,9 +164,9 @@
     state = ConnectionState.IDLE if is_used else ConnectionState.AWAITING_FIRST_REQUEST
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            node = running_node(scene)
-            with await connect(scene) as client:
+        async with node_environment(tmp_path, Server()) as environment:
+            node = running_node(environment)
+            with await connect(environment) as client:
                 if is_used:
                     client.sendall(request("a"))
                     assert is_ok(await receive(client))
@@ -172,17 +184,17 @@
     max_connections = 35  # that follow from the sockets
 
     async def test() -> None:
-        async with world(tmp_path, Server(), sockets=64, tier=1) as scene:
-            await ready_node(scene)
+        async with node_environment(tmp_path, Server(), sockets=64, tier=1) as environment:
+            await ready_node(environment)
             requesting = []
             for number in range(3):
-                client = socket.create_connection(scene.address, LIMIT_S)
+                client = socket.create_connection(environment.address, LIMIT_S)
                 client.sendall(request(f"{number}"))
                 requesting.append(client)
-            silent = [socket.create_connection(scene.address, LIMIT_S) for _ in range(max_connections)]
+            silent = [socket.create_connection(environment.address, LIMIT_S) for _ in range(max_connections)]
             for client in requesting:  # the event loop has had no turn so far
                 assert is_ok(await receive(client))
-            assert open_connections(scene) <= max_connections
+            assert open_connections(environment) <= max_connections
             for client in requesting + silent:
                 client.close()
 
@@ -191,8 +203,8 @@
 
 def test_a_huge_body_is_refused_before_it_comes_and_the_refusal_can_be_read(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            client = await scene.caller()
+        async with node_environment(tmp_path, Server()) as environment:
+            client = await environment.client()
             client.write(
                 b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 100_000
             )
@@ -206,18 +218,18 @@
     """The client's id does not tell the two apart: the response to one must not end the other."""
 
     async def test() -> None:
-        server = Server(answer(200, b"old"), answer(200, b"new"))
+        server = Server(render_response(200, b"old"), render_response(200, b"new"))
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            node = running_node(scene)
-            disconnected = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            node = running_node(environment)
+            disconnected = await environment.client()
             disconnected.write(request("a"))
-            await until(lambda: len(server.seen) == 1)
+            await until(lambda: len(server.received) == 1)
             disconnected.writer.close()
             await until(lambda: open_requests(node) == 0)
-            repeating = await scene.caller()
+            repeating = await environment.client()
             repeating.write(request("a"))
-            await until(lambda: len(server.seen) == 2)
+            await until(lambda: len(server.received) == 2)
             server.gate.set()
             assert (await repeating.read()).body == b"new"
             await until(lambda: not node._attempts.in_flight)
@@ -233,14 +245,16 @@
 
     async def test() -> None:
         server = Server(name="s0")
-        async with world(tmp_path, server) as scene:
-            node = running_node(scene)
+        async with node_environment(tmp_path, server) as environment:
+            node = running_node(environment)
             for n in range(1, 16):
-                assert (await scene.ask(f"{n}")).status == 200
-                scene.registry.tell(server.entry(name=f"s{n - 1}", status="left"), server.entry(name=f"s{n}"))
-                await until(lambda n=n: scene.registry.watches() == n + 1)  # type: ignore[misc]
-                scene.callers.pop().writer.close()
-            await until(lambda: open_connections(scene) == 0)
+                assert (await environment.ask(f"{n}")).status == 200
+                environment.agent.publish(
+                    server.entry(name=f"s{n - 1}", status="left"), server.entry(name=f"s{n}")
+                )
+                await until(lambda n=n: environment.agent.watches() == n + 1)  # type: ignore[misc]
+                environment.clients.pop().writer.close()
+            await until(lambda: open_connections(environment) == 0)
             module = node._balancer
             assert (
                 open_requests(node) == 0 and not node._attempts.in_flight and not node._policy.pending_count()
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -16,7 +16,17 @@
 import pytest
 
 from tests.client_helpers import connect, open_requests, running_node
-from tests.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
+from tests.peers import (
+    HANG,
+    LIMIT_S,
+    NodeEnvironment,
+    Server,
+    node_environment,
+    render_response,
+    request,
+    run,
+    until,
+)
 from workspond.policy import request_queue
 
 BUSY_S = 0.3  # for which the event loop does not run
@@ -47,12 +57,12 @@
 def answer_now(server: Server) -> None:
     """Write a response on the server's connections at once, without a turn of the loop."""
     for writer in server._writers:
-        writer.write(answer())
+        writer.write(render_response())
 
 
-async def all_requests_finished(scene: World) -> None:
+async def all_requests_finished(environment: NodeEnvironment) -> None:
     """Wait until the node has no open request and no attempt in flight."""
-    node = running_node(scene)
+    node = running_node(environment)
     await until(
         lambda: not open_requests(node) and not node._attempts.in_flight and not node._balancer._calls
     )
@@ -64,14 +74,16 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            with await connect(scene) as client:
-                assert (await scene.ask("before")).status == 200  # leaves an idle connection to the server
+        async with node_environment(tmp_path, server) as environment:
+            with await connect(environment) as client:
+                assert (
+                    await environment.ask("before")
+                ).status == 200  # leaves an idle connection to the server
                 client.sendall(request("abandoned"))
                 leave_while_loop_is_busy(client, leave)
-                assert (await scene.ask("next")).status == 200
-                await all_requests_finished(scene)
-                assert [seen.id for seen in server.seen] == ["before", "next"]
+                assert (await environment.ask("next")).status == 200
+                await all_requests_finished(environment)
+                assert [seen.request_id for seen in server.received] == ["before", "next"]
 
     run(test())
 
@@ -81,16 +93,16 @@
     """A reset reaches the node a turn after it was read, and timers run in between."""
 
     async def test() -> None:
-        server = Server(usual=answer(500))
-        async with world(tmp_path, server) as scene:
-            module = running_node(scene)._balancer
-            with await connect(scene) as client:
+        server = Server(default=render_response(500))
+        async with node_environment(tmp_path, server) as environment:
+            module = running_node(environment)._balancer
+            with await connect(environment) as client:
                 client.sendall(request("abandoned"))
-                await until(lambda: bool(server.seen) and bool(module._waiting) and not module.in_flight)
-                sent = len(server.seen)
+                await until(lambda: bool(server.received) and bool(module._waiting) and not module.in_flight)
+                sent = len(server.received)
                 leave_while_loop_is_busy(client, leave)
-                await all_requests_finished(scene)
-                assert len(server.seen) == sent
+                await all_requests_finished(environment)
+                assert len(server.received) == sent
 
     run(test())
 
@@ -102,22 +114,22 @@
 
     async def test() -> None:
         server = Server(HANG)
-        async with world(tmp_path, server) as scene:
-            module = running_node(scene)._balancer
-            with await connect(scene) as client:
-                first = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            module = running_node(environment)._balancer
+            with await connect(environment) as client:
+                first = await environment.client()
                 for known in module.fleet.servers.values():
                     known.in_flight_limit = 1.0
                 first.write(request("first"))
-                await until(lambda: len(server.seen) == 1)
+                await until(lambda: len(server.received) == 1)
                 client.sendall(request("abandoned"))
                 await until(lambda: len(module._calls) == 2)
                 answer_now(server)
                 leave_while_loop_is_busy(client, leave)
                 assert (await first.read()).status == 200
-                await all_requests_finished(scene)
+                await all_requests_finished(environment)
                 assert (await first.ask("next")).status == 200
-                assert [seen.id for seen in server.seen] == ["first", "next"]
+                assert [seen.request_id for seen in server.received] == ["first", "next"]
 
     run(test())
 
@@ -128,15 +140,15 @@
 
     async def test() -> None:
         server = Server(HANG)
-        async with world(tmp_path, server) as scene:
-            with await connect(scene) as client:
+        async with node_environment(tmp_path, server) as environment:
+            with await connect(environment) as client:
                 client.sendall(request("first") + request("abandoned"))
-                await until(lambda: len(server.seen) == 1)
+                await until(lambda: len(server.received) == 1)
                 answer_now(server)
                 leave_while_loop_is_busy(client, leave)
-                await all_requests_finished(scene)
-                assert (await scene.ask("next")).status == 200
-                assert [seen.id for seen in server.seen] == ["first", "next"]
+                await all_requests_finished(environment)
+                assert (await environment.ask("next")).status == 200
+                assert [seen.request_id for seen in server.received] == ["first", "next"]
 
     run(test())
 
@@ -158,17 +170,17 @@
 
     async def test() -> None:
         with server_with_full_backlog() as slow:
-            async with world(tmp_path, known=False) as scene:
+            async with node_environment(tmp_path, known=False) as environment:
                 entry = {"name": "slow", "address": f"127.0.0.1:{slow.getsockname()[1]}", "status": "active"}
-                scene.registry.whole = [entry]
-                node = running_node(scene)
-                with await connect(scene) as client:
+                environment.agent.endpoints = [entry]
+                node = running_node(environment)
+                with await connect(environment) as client:
                     client.sendall(request("abandoned"))
                     await until(lambda: len(node._upstream._connecting) == 1)
                     leave_while_loop_is_busy(client, leave)
                     # The second connection comes up once its handshake is sent again, after 1 s.
                     with slow.accept()[0], slow.accept()[0] as dialled:
-                        await all_requests_finished(scene)
+                        await all_requests_finished(environment)
                         dialled.setblocking(False)
                         with contextlib.suppress(BlockingIOError):  # idle in the pool, or
                             assert dialled.recv(1) == b""  # closed
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.peers import Server, World, run, until, world
+from tests.peers import NodeEnvironment, Server, node_environment, run, until
 from workspond.clock import now_ms
 from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list, server_id
 from workspond.discovery.incarnations import IncarnationTracker
@@ -31,13 +31,14 @@
         return int(self._true_time() * 1000.0)
 
 
-def capacity_fractions(scene: World) -> dict[str, float]:
+def capacity_fractions(environment: NodeEnvironment) -> dict[str, float]:
     """The fraction of its capacity that the node takes each server to have, by its name."""
-    assert scene.node is not None
-    module = scene.node._balancer
-    names = {scene.node._endpoints.addresses[id]: id for id in module.fleet.servers}
+    assert environment.node is not None
+    module = environment.node._balancer
+    names = {environment.node._endpoints.addresses[id]: id for id in module.fleet.servers}
     by_name = {
-        server.name: names["127.0.0.1", int(server.address.rpartition(":")[2])] for server in scene.servers
+        server.name: names["127.0.0.1", int(server.address.rpartition(":")[2])]
+        for server in environment.servers
     }
     now = now_ms()
     return {
@@ -46,11 +47,11 @@
     }
 
 
-async def send_complete_list(scene: World, entries: list[dict[str, object]]) -> None:
+async def send_complete_list(environment: NodeEnvironment, entries: list[dict[str, object]]) -> None:
     """Send a complete list and wait until the node has taken it."""
-    watches = scene.registry.watches()
-    scene.registry.tell(*entries, snapshot=True)
-    await until(lambda: scene.registry.watches() > watches)
+    watches = environment.agent.watches()
+    environment.agent.publish(*entries, snapshot=True)
+    await until(lambda: environment.agent.watches() > watches)
 
 
 def test_a_step_of_the_wall_clock_leaves_warm_servers_warm_and_cold_ones_cold(
@@ -62,19 +63,21 @@
         clock = WallClock(monkeypatch)
         up_since_ms = clock.true_ms() - int(UPTIME_S * 1000.0)
         servers = [Server(name=f"s{n}") for n in range(SERVER_COUNT)]
-        async with world(tmp_path, *servers, known=False) as scene:
-            scene.registry.whole = [server.entry(since_ms=up_since_ms) for server in servers]
-            await until(lambda: scene.registry.watches() == 1)
-            assert set(capacity_fractions(scene).values()) == {1.0}
+        async with node_environment(tmp_path, *servers, known=False) as environment:
+            environment.agent.endpoints = [server.entry(since_ms=up_since_ms) for server in servers]
+            await until(lambda: environment.agent.watches() == 1)
+            assert set(capacity_fractions(environment).values()) == {1.0}
             clock.offset_s = step_s
             restarted_at_ms = clock.true_ms()
             entries = [server.entry(since_ms=up_since_ms) for server in servers]
-            await send_complete_list(scene, [*entries[:-1], servers[-1].entry(since_ms=restarted_at_ms)])
-            fractions = capacity_fractions(scene)
+            await send_complete_list(
+                environment, [*entries[:-1], servers[-1].entry(since_ms=restarted_at_ms)]
+            )
+            fractions = capacity_fractions(environment)
             restarted_fraction = fractions.pop(servers[-1].name)
             assert set(fractions.values()) == {1.0}
-            assert scene.node is not None
-            start = scene.node._config.settings.start_capacity
+            assert environment.node is not None
+            start = environment.node._config.settings.start_capacity
             assert start <= restarted_fraction < start + 0.1
 
     for step_s in (-HOUR_S, HOUR_S):
--- a/tests/test_close_framed.py
+++ b/tests/test_close_framed.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.peers import CLOSE, LIMIT_S, Server, request, run, until, world
+from tests.peers import CLOSE, LIMIT_S, Server, node_environment, request, run, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n"
 
@@ -19,9 +19,9 @@
 
     async def test() -> None:
         server = Server(HEAD + b"until the end" + CLOSE, HEAD + CLOSE)
-        async with world(tmp_path, server) as scene:
+        async with node_environment(tmp_path, server) as environment:
             for request_id, body in (("a", b"until the end"), ("b", b"")):
-                response = await scene.ask(request_id, "pay")
+                response = await environment.ask(request_id, "pay")
                 assert (response.status, response.body) == (200, body)
 
     run(test())
@@ -30,9 +30,9 @@
 def test_a_refusal_with_no_length_is_a_refusal(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n\r\n" + CLOSE)
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a", "pay")).status == 200
-            assert [seen.id for seen in server.seen] == ["a", "a"]
+        async with node_environment(tmp_path, server) as environment:
+            assert (await environment.ask("a", "pay")).status == 200
+            assert [seen.request_id for seen in server.received] == ["a", "a"]
 
     run(test())
 
@@ -40,10 +40,10 @@
 def test_an_answer_with_no_length_and_no_end_fails_in_its_time(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(HEAD + b"without end")
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a", "pay", budget="0.5")).status in (502, 504)
-            assert (await scene.ask("b", "pay")).body == b"done"
-            assert [seen.id for seen in server.seen] == ["a", "b"]
+        async with node_environment(tmp_path, server) as environment:
+            assert (await environment.ask("a", "pay", budget="0.5")).status in (502, 504)
+            assert (await environment.ask("b", "pay")).body == b"done"
+            assert [seen.request_id for seen in server.received] == ["a", "b"]
 
     run(test())
 
@@ -56,10 +56,10 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(LIMIT_S)
             entry = {"name": "s", "address": f"127.0.0.1:{listener.getsockname()[1]}", "status": "active"}
-            async with world(tmp_path, known=False) as scene:
-                scene.registry.whole = [entry]
-                caller = await scene.caller()
-                await until(lambda: scene.node is not None and scene.node.is_ready())
+            async with node_environment(tmp_path, known=False) as environment:
+                environment.agent.endpoints = [entry]
+                caller = await environment.client()
+                await until(lambda: environment.node is not None and environment.node.is_ready())
                 caller.write(request("a", "pay"))
                 connection, _ = await asyncio.to_thread(listener.accept)
                 await asyncio.to_thread(connection.recv, 65536)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Seen, Server, answer, request, run, until
+from tests.peers import LIMIT_S, Message, Server, render_response, request, run, until
 from workspond.address import Address
 from workspond.policy.events import Outcome
 from workspond.upstream import connection as server_connection
@@ -107,7 +107,7 @@
     def _answer_one(self) -> socket.socket:
         connection, _ = self._socket.accept()
         self.requests.append(connection.recv(65536))
-        connection.sendall(answer())
+        connection.sendall(render_response())
         return connection
 
     def end_first_connection(self) -> None:
@@ -151,7 +151,7 @@
 
             def answer_and_block_the_loop() -> None:
                 loop.remove_reader(inner)
-                connection.sendall(answer())
+                connection.sendall(render_response())
                 time.sleep(max(0.0, sent_at_s + timeout_s + 0.2 - time.monotonic()))
 
             loop.add_reader(inner, answer_and_block_the_loop)
@@ -193,7 +193,7 @@
             assert await client.outcome(1) is Outcome.NOT_SENT
             client.send("b")  # the connection itself is good, and used
             assert await client.outcome(2) is Outcome.SUCCESS
-            assert [seen.id for seen in server.seen] == ["b"]
+            assert [seen.request_id for seen in server.received] == ["b"]
             assert server.connections == 1
 
     run(test())
@@ -206,7 +206,7 @@
             client = PoolUnderTest(server.address, keepalive_ms=400.0)
             client.send("a")
             assert await client.outcome(1) is Outcome.SUCCESS
-            await until(lambda: server.lost == 1)
+            await until(lambda: server.closed_connections == 1)
             assert client.pool.connection_count() == 0
 
     run(test())
@@ -219,15 +219,15 @@
         async with running(server) as client:
             client.send("a")
             client.send("b")
-            await until(lambda: len(server.seen) == 2)
+            await until(lambda: len(server.received) == 2)
             server.gate.set()
             await client.outcome(2)
             for n in range(3, 6):
                 client.send(f"{n}")
                 await client.outcome(n)
-            assert len({seen.connection for seen in server.seen[2:]}) == 1
+            assert len({seen.connection for seen in server.received[2:]}) == 1
             client.pool.close_idle(1)
-            await until(lambda: server.lost == 2)
+            await until(lambda: server.closed_connections == 2)
 
     run(test())
 
@@ -235,12 +235,12 @@
 class RepeatingServer(Server):
     """Answers the first request a second time, as soon as the next one has come."""
 
-    async def script(self, message: Seen) -> bytes:
-        if message.id == "a":
+    async def script(self, message: Message) -> bytes:
+        if message.request_id == "a":
             [self.first] = self._writers
         else:
-            self.first.write(answer(200, b"for a"))
-        return answer(200, b"for " + message.id.encode())
+            self.first.write(render_response(200, b"for a"))
+        return render_response(200, b"for " + message.request_id.encode())
 
 
 def test_a_second_answer_that_comes_late_is_not_taken_for_that_to_the_next_request(
@@ -322,6 +322,10 @@
                     await asyncio.sleep(0)
                 attempt.abort(Outcome.CANCELLED)
             assert client.outcomes == [Outcome.CANCELLED] * 20
-            await until(lambda: client.pool.connection_count() == 0 and server.lost == server.connections)
+            await until(
+                lambda: (
+                    client.pool.connection_count() == 0 and server.closed_connections == server.connections
+                )
+            )
 
     run(test())
--- a/tests/test_connections_at_shutdown.py
+++ b/tests/test_connections_at_shutdown.py
@@ -18,7 +18,7 @@
     receive,
     running_node,
 )
-from tests.peers import HANG, LIMIT_S, Server, request, run, until, world
+from tests.peers import HANG, LIMIT_S, Server, node_environment, request, run, until
 from workspond import graceful_shutdown
 from workspond.downstream import connection_states, frontend
 
@@ -40,17 +40,17 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            incomplete = await scene.caller()
-            served = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            incomplete = await environment.client()
+            served = await environment.client()
             incomplete.write(INCOMPLETE_REQUESTS["half a body"])
             assert (await served.ask("before")).status == 200
-            stopping = asyncio.ensure_future(running_node(scene).stop(0.0))
+            stopping = asyncio.ensure_future(running_node(environment).stop(0.0))
             await asyncio.sleep(0)
             # A connection that stays open is served on.
             assert (await served.ask("during")).status == 200
             await asyncio.wait_for(stopping, LIMIT_S)
-            await until(lambda: open_connections(scene) == 0)
+            await until(lambda: open_connections(environment) == 0)
 
     run(test())
 
@@ -59,16 +59,16 @@
     """Clients of a single node that are refused a new connection give up their open ones too."""
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            open_before = await scene.caller()
+        async with node_environment(tmp_path, Server()) as environment:
+            open_before = await environment.client()
             assert (await open_before.ask("a")).status == 200
-            stopping = asyncio.create_task(running_node(scene).stop(0.0))
+            stopping = asyncio.create_task(running_node(environment).stop(0.0))
             await asyncio.sleep(0.1)
-            assert (await scene.ask("b")).status == 200
+            assert (await environment.ask("b")).status == 200
             assert (await open_before.ask("c")).status == 200
             await stopping
             with pytest.raises(ConnectionError):
-                await scene.caller()
+                await environment.client()
 
     run(test())
 
@@ -78,14 +78,14 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            client = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            client = await environment.client()
             assert (await client.ask("short", budget="0.05")).status == 200
             server.gate.clear()
-            stopping = asyncio.ensure_future(running_node(scene).stop())
+            stopping = asyncio.ensure_future(running_node(environment).stop())
             await asyncio.sleep(0)
             client.write(request("long", budget="2.5"))
-            await until(lambda: len(server.seen) == 2)
+            await until(lambda: len(server.received) == 2)
             await asyncio.sleep(1.0)  # the platform leaves the node 3.7 s
             server.gate.set()
             assert (await client.read()).status == 200
@@ -100,15 +100,15 @@
     """Closing the listening socket alone would reset it, and lose its request."""
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            node = await ready_node(scene)
+        async with node_environment(tmp_path, Server()) as environment:
+            node = await ready_node(environment)
             # The event loop has no turn till the next await.
-            with socket.create_connection(scene.address, LIMIT_S) as client:
+            with socket.create_connection(environment.address, LIMIT_S) as client:
                 client.sendall(request("a"))
                 await node.frontend.close_listener()
                 assert is_ok(await receive(client))
             with pytest.raises(ConnectionError):
-                await scene.caller()
+                await environment.client()
 
     run(test())
 
@@ -120,13 +120,13 @@
     """The node has accepted the connection; closing it over an unread request would reset it."""
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            with await connect(scene) as client:
+        async with node_environment(tmp_path, Server()) as environment:
+            with await connect(environment) as client:
                 if is_used:
                     client.sendall(request("a"))
                     assert is_ok(await receive(client))
                 client.sendall(request("b"))  # the event loop has no turn till the drain
-                await running_node(scene).frontend.drain()
+                await running_node(environment).frontend.drain()
                 response = await receive(client)
                 assert is_ok(response) and b"Connection: close" in response
 
@@ -140,10 +140,10 @@
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_MS", 300.0)
 
     async def test() -> None:
-        async with world(tmp_path, Server(usual=HANG)) as scene:
-            node = running_node(scene)
-            before = await scene.caller()
-            during = await scene.caller()
+        async with node_environment(tmp_path, Server(default=HANG)) as environment:
+            node = running_node(environment)
+            before = await environment.client()
+            during = await environment.client()
             before.write(request("a", "pay", budget="20"))
             await until(lambda: open_requests(node) > 0)
             stopping = asyncio.ensure_future(node.stop(0.0))
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Server, read_message, request, run, until, world
+from tests.peers import LIMIT_S, Server, node_environment, read_message, request, run, until
 from tests.stalled_listener import StalledListener
 from tests.test_listener import FailingSocket
 from workspond.downstream.listener import RETRY_S
@@ -35,12 +35,12 @@
 
     async def test() -> None:
         with StalledListener() as stalled:
-            async with world(tmp_path, known=False) as scene:
-                scene.registry.whole = [stalled.entry()]
-                node = scene.node
+            async with node_environment(tmp_path, known=False) as environment:
+                environment.agent.endpoints = [stalled.entry()]
+                node = environment.node
                 assert node is not None
                 await until(node.is_ready)
-                caller = await scene.caller()
+                caller = await environment.client()
                 sent_at_s = time.monotonic()
                 caller.write(request("late", budget=str(BUDGET_S)))
                 await until(lambda: len(node._upstream._connecting) == 1)
@@ -60,16 +60,16 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            caller = await environment.client()
             sent_at_s = time.monotonic()
             caller.write(request("first") + request("second", budget=str(BUDGET_S)))
-            await until(lambda: len(server.seen) == 1)
+            await until(lambda: len(server.received) == 1)
             await asyncio.sleep(1.0)
             server.gate.set()
-            await until(lambda: len(server.seen) == 2)
+            await until(lambda: len(server.received) == 2)
             left_s = time_left_s(sent_at_s)
-            assert float(server.seen[1].headers["x-budget"]) <= left_s + SLACK_S
+            assert float(server.received[1].headers["x-budget"]) <= left_s + SLACK_S
 
     run(test())
 
@@ -81,8 +81,8 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            node = scene.node
+        async with node_environment(tmp_path, server) as environment:
+            node = environment.node
             assert node is not None
             await until(node.is_ready)
             listener = node.frontend._listener
@@ -90,14 +90,14 @@
             if cause == "a shortage of descriptors":
                 errors = [errno.EMFILE] * round(delay_s / RETRY_S + 1)
                 listener._socket = cast(socket.socket, FailingSocket(listener._socket, *errors))
-            with socket.create_connection(scene.address, LIMIT_S) as caller:
+            with socket.create_connection(environment.address, LIMIT_S) as caller:
                 sent_at_s = time.monotonic()
                 caller.sendall(request("a", budget=str(BUDGET_S)))
                 if cause == "a busy event loop":
                     block_event_loop(delay_s)
-                await until(lambda: len(server.seen) == 1)
+                await until(lambda: len(server.received) == 1)
                 left_s = time_left_s(sent_at_s)
                 assert left_s < BUDGET_S - delay_s
-                assert float(server.seen[0].headers["x-budget"]) <= left_s + SLACK_S
+                assert float(server.received[0].headers["x-budget"]) <= left_s + SLACK_S
 
     run(test())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.peers import HANG, Caller, Registry, Server, request, run, until, world
+from tests.peers import HANG, Client, ScriptedDiscoveryAgent, Server, node_environment, request, run, until
 from tests.program import Program
 
 MAX_UPDATE_LATENCY_S = 6.0  # from the agent's return to the node's next watch
@@ -68,7 +68,7 @@
     """Send a request, each time on a new connection, until one is not closed unread; its status."""
     while True:
         with contextlib.suppress(ConnectionError, AssertionError):  # closed: "closed without an answer"
-            client = Caller(*await asyncio.open_connection(*address))
+            client = Client(*await asyncio.open_connection(*address))
             try:
                 client.write(data)
                 return (await client.read()).status
@@ -85,24 +85,24 @@
         await asyncio.sleep(0.05)
 
 
-async def send_pending_requests(address: Address) -> list[Caller]:
+async def send_pending_requests(address: Address) -> list[Client]:
     """Clients with a request each to which there is no response yet."""
     clients = []
     for number in range(PENDING_REQUESTS):
-        client = Caller(*await asyncio.open_connection(*address))
+        client = Client(*await asyncio.open_connection(*address))
         client.write(request(f"held-{number}"))
         clients.append(client)
     return clients
 
 
-def fail_agent(agent: Registry, failure: AgentFailure) -> None:
+def fail_agent(agent: ScriptedDiscoveryAgent, failure: AgentFailure) -> None:
     if failure is AgentFailure.REFUSED:
         agent._server.close()
     else:
         agent.gate.clear()
 
 
-async def restore_agent(agent: Registry, failure: AgentFailure) -> None:
+async def restore_agent(agent: ScriptedDiscoveryAgent, failure: AgentFailure) -> None:
     if failure is AgentFailure.REFUSED:
         host, _, port = agent.address.rpartition(":")
         agent._server = await asyncio.start_server(agent._serve, host, int(port))
@@ -110,7 +110,7 @@
 
 
 @contextlib.asynccontextmanager
-async def started(*peers: Server | Registry) -> AsyncIterator[None]:
+async def started(*peers: Server | ScriptedDiscoveryAgent) -> AsyncIterator[None]:
     """Peers that run apart from those of a scene."""
     for peer in peers:
         await peer.start()
@@ -127,44 +127,48 @@
 def test_a_node_full_of_idle_callers_hears_discovery_again_and_serves(
     limit: int, failure: AgentFailure, tmp_path: Path
 ) -> None:
-    old = Server(usual=HANG, name="old")
+    old = Server(default=HANG, name="old")
     new = Server(name="new")
     other = Server(name="other")
-    agent_elsewhere = Registry()
+    agent_elsewhere = ScriptedDiscoveryAgent()
 
     async def test() -> None:
         async with (
             started(new, other, agent_elsewhere),
-            world(tmp_path, old, start=False, sockets=limit, membership_mode="pushed", tier=1) as scene,
+            node_environment(
+                tmp_path, old, start=False, sockets=limit, membership_mode="pushed", tier=1
+            ) as environment,
         ):
-            agent_elsewhere.whole = [other.entry()]
-            fail_agent(scene.registry, failure)
-            program = await Program.start(scene, descriptors=limit)
-            assert await status_of(scene.address, READY_CHECK) in (200, 500)
-            idle = IdleClients(scene.address)
+            agent_elsewhere.endpoints = [other.entry()]
+            fail_agent(environment.agent, failure)
+            program = await Program.start(environment, descriptors=limit)
+            assert await status_of(environment.address, READY_CHECK) in (200, 500)
+            idle = IdleClients(environment.address)
             await idle.connect(limit + 100)
-            await until_ready(scene.address)  # by its cached endpoints
-            pending = await send_pending_requests(scene.address)
-            await until(lambda: len({seen.id for seen in old.seen}) == PENDING_REQUESTS)
+            await until_ready(environment.address)  # by its cached endpoints
+            pending = await send_pending_requests(environment.address)
+            await until(lambda: len({seen.request_id for seen in old.received}) == PENDING_REQUESTS)
             await idle.connect(limit + 100)
-            assert await status_of(scene.address, READY_CHECK) == 200
+            assert await status_of(environment.address, READY_CHECK) == 200
 
-            scene.registry.whole = [new.entry()]
+            environment.agent.endpoints = [new.entry()]
             async with asyncio.timeout(MAX_UPDATE_LATENCY_S):
-                await restore_agent(scene.registry, failure)
+                await restore_agent(environment.agent, failure)
                 await idle.connect(limit + 100)
-                await until(lambda: scene.registry.watches() >= 1)
-            assert await status_of(scene.address, request("fresh")) == 200
-            assert "fresh" in [seen.id for seen in new.seen]
+                await until(lambda: environment.agent.watches() >= 1)
+            assert await status_of(environment.address, request("fresh")) == 200
+            assert "fresh" in [seen.request_id for seen in new.received]
 
             # A new configuration is a file to open: there is a descriptor left for it.
             await idle.connect(limit + 100)
-            scene.path.write_text(json.dumps(scene.config | {"discovery": agent_elsewhere.address}))
+            environment.path.write_text(
+                json.dumps(environment.config | {"discovery": agent_elsewhere.address})
+            )
             program.process.send_signal(signal.SIGHUP)
             async with asyncio.timeout(MAX_RELOAD_LATENCY_S):
                 await until(lambda: agent_elsewhere.watches() >= 1)
-            assert await status_of(scene.address, request("moved")) == 200
-            assert [seen.id for seen in other.seen] == ["moved"]
+            assert await status_of(environment.address, request("moved")) == 200
+            assert [seen.request_id for seen in other.received] == ["moved"]
 
             for client in pending:
                 client.writer.close()
--- a/tests/test_endpoint_list_reader.py
+++ b/tests/test_endpoint_list_reader.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.peers import Server, run, until, world
+from tests.peers import Server, node_environment, run, until
 from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list, server_id
 from workspond.discovery.endpoint_list_reader import EndpointListReader, InvalidEndpointListError
 from workspond.policy.endpoint import Endpoint, EndpointState
@@ -146,19 +146,19 @@
 
     async def test() -> None:
         servers = [Server(name="s0"), Server(name="s1")]
-        async with world(tmp_path, *servers) as scene:
-            assert scene.node is not None
+        async with node_environment(tmp_path, *servers) as environment:
+            assert environment.node is not None
             for number in range(4):
-                assert (await scene.ask(f"a{number}")).status == 200
-            scene.registry.tell(servers[0].entry(), snapshot=True)
-            node = scene.node
+                assert (await environment.ask(f"a{number}")).status == 200
+            environment.agent.publish(servers[0].entry(), snapshot=True)
+            node = environment.node
             await until(
                 lambda: len(node._endpoints.addresses) == 1 and len(node._balancer.fleet.servers) == 1
             )
             await asyncio.sleep(0.02)
-            requests_before = len(servers[1].seen)
+            requests_before = len(servers[1].received)
             for number in range(4):
-                assert (await scene.ask(f"b{number}")).status == 200
-            assert len(servers[1].seen) == requests_before
+                assert (await environment.ask(f"b{number}")).status == 200
+            assert len(servers[1].received) == requests_before
 
     run(test())
--- a/tests/test_event_counts.py
+++ b/tests/test_event_counts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.peers import RESET, Server, run, world
+from tests.peers import RESET, Server, node_environment, run
 from workspond.observability.counters import CountedEvent, EventCounters
 
 
@@ -26,10 +26,10 @@
     caplog.set_level(logging.INFO)
 
     async def test() -> None:
-        async with world(tmp_path, Server(RESET)) as scene:
-            assert (await scene.ask("lost", "pay")).status == 502
-            assert (await scene.ask("kept", "pay")).status == 200
-            client = await scene.caller()
+        async with node_environment(tmp_path, Server(RESET)) as environment:
+            assert (await environment.ask("lost", "pay")).status == 502
+            assert (await environment.ask("kept", "pay")).status == 200
+            client = await environment.client()
             client.write(b"noise\r\n\r\n")
             assert (await client.read()).status == 400
 
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -11,7 +11,16 @@
 
 import pytest
 
-from tests.peers import Server, World, answer, read_message, request, run, until, world
+from tests.peers import (
+    NodeEnvironment,
+    Server,
+    node_environment,
+    read_message,
+    render_response,
+    request,
+    run,
+    until,
+)
 from tests.stalled_listener import StalledListener
 
 
@@ -22,10 +31,10 @@
         yield listener
 
 
-async def connecting(scene: World) -> None:
+async def connecting(environment: NodeEnvironment) -> None:
     """Wait until the node opens a connection to a server."""
-    assert scene.node is not None
-    pool = scene.node._upstream
+    assert environment.node is not None
+    pool = environment.node._upstream
     await until(lambda: len(pool._connecting) == 1)
 
 
@@ -40,7 +49,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0.3):
                 seen = await read_message(reader)
-                return seen.id if seen is not None else None
+                return seen.request_id if seen is not None else None
         return None
     finally:
         writer.close()
@@ -53,18 +62,18 @@
 
     async def test() -> None:
         server = Server(name="moves")
-        async with world(tmp_path, server, known=False) as scene:
-            scene.registry.whole = [server.entry(address=slow.address)]
-            await until(lambda: scene.node is not None and scene.node.is_ready())
-            caller = await scene.caller()
+        async with node_environment(tmp_path, server, known=False) as environment:
+            environment.agent.endpoints = [server.entry(address=slow.address)]
+            await until(lambda: environment.node is not None and environment.node.is_ready())
+            caller = await environment.client()
             caller.write(request("a", "pay"))
-            await connecting(scene)
-            watches = scene.registry.watches()
-            scene.registry.tell(server.entry())
-            await until(lambda: scene.registry.watches() > watches)
+            await connecting(environment)
+            watches = environment.agent.watches()
+            environment.agent.publish(server.entry())
+            await until(lambda: environment.agent.watches() > watches)
             assert await sent_on(await slow.accept()) is None
             assert (await caller.read()).status == 200
-            assert [seen.id for seen in server.seen] == ["a"]
+            assert [seen.request_id for seen in server.received] == ["a"]
 
     run(test())
 
@@ -76,28 +85,30 @@
     window_s = 0.6
 
     async def test() -> None:
-        first = Server(usual=answer(500), name="first", group=1)
-        async with world(tmp_path, first, known=False) as scene:
-            assert scene.node is not None
-            scene.node._balancer.classes["save"].deduplication_window_ms = window_s * 1000.0
-            scene.registry.whole = [first.entry()]
-            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
-            caller = await scene.caller()
+        first = Server(default=render_response(500), name="first", group=1)
+        async with node_environment(tmp_path, first, known=False) as environment:
+            assert environment.node is not None
+            environment.node._balancer.classes["save"].deduplication_window_ms = window_s * 1000.0
+            environment.agent.endpoints = [first.entry()]
+            await until(
+                lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
+            )
+            caller = await environment.client()
             started_at_s = time.monotonic()
             first.gate.clear()
             caller.write(request("a", "save"))
-            await until(lambda: len(first.seen) == 1)
+            await until(lambda: len(first.received) == 1)
             other = {"name": "second", "address": slow.address, "group": 1, "status": "active"}
-            watches = scene.registry.watches()
-            scene.registry.tell(other)
-            await until(lambda: scene.registry.watches() > watches)
+            watches = environment.agent.watches()
+            environment.agent.publish(other)
+            await until(lambda: environment.agent.watches() > watches)
             first.gate.set()
-            await connecting(scene)
+            await connecting(environment)
             assert time.monotonic() - started_at_s < window_s
             assert await sent_on(await slow.accept()) is None
             assert time.monotonic() - started_at_s > window_s
             assert (await caller.read()).status in (502, 503, 504)
-            assert len(first.seen) == 1
+            assert len(first.received) == 1
 
     run(test())
 
@@ -106,13 +117,13 @@
     """The timeout of the attempt itself comes first."""
 
     async def test() -> None:
-        async with world(tmp_path, known=False) as scene:
-            scene.registry.whole = [slow.entry()]
-            await until(lambda: scene.node is not None and scene.node.is_ready())
-            assert scene.node is not None
-            caller = await scene.caller()
+        async with node_environment(tmp_path, known=False) as environment:
+            environment.agent.endpoints = [slow.entry()]
+            await until(lambda: environment.node is not None and environment.node.is_ready())
+            assert environment.node is not None
+            caller = await environment.client()
             caller.write(request("a", budget="1.1"))
-            await connecting(scene)
+            await connecting(environment)
             connection = await slow.accept()
             block_the_loop(0.12)  # past the end of the request's time: the node runs in this loop
             reader, writer = await asyncio.open_connection(sock=connection)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -18,7 +18,16 @@
 import pytest
 
 from tests.client_helpers import is_ok, ready_node, receive
-from tests.peers import LIMIT_S, Registry, Server, World, request, run, until, world
+from tests.peers import (
+    LIMIT_S,
+    NodeEnvironment,
+    ScriptedDiscoveryAgent,
+    Server,
+    node_environment,
+    request,
+    run,
+    until,
+)
 from tests.program import Program
 from workspond.__main__ import listen
 from workspond.config import read_config
@@ -54,10 +63,10 @@
         limit_descriptors(pid, USUAL_LIMIT)
 
 
-async def start_program(scene: World, descriptors: int | None = None) -> Program:
+async def start_program(environment: NodeEnvironment, descriptors: int | None = None) -> Program:
     """Start the program, and wait until it has an endpoint list."""
-    program = await Program.start(scene, descriptors=descriptors)
-    await until(lambda: scene.registry.watches() > 0)
+    program = await Program.start(environment, descriptors=descriptors)
+    await until(lambda: environment.agent.watches() > 0)
     return program
 
 
@@ -65,15 +74,15 @@
     """They must not be reset, as the event loop's own way to accept would do."""
 
     async def test() -> None:
-        async with world(tmp_path, Server(), start=False) as scene:
-            program = await start_program(scene)
-            assert (await scene.ask("before")).status == 200
-            scene.callers.pop().writer.close()
+        async with node_environment(tmp_path, Server(), start=False) as environment:
+            program = await start_program(environment)
+            assert (await environment.ask("before")).status == 200
+            environment.clients.pop().writer.close()
             await asyncio.sleep(0.1)
             clients = []
             with no_free_descriptor(program.process.pid):
                 for number in range(5):
-                    client = socket.create_connection(scene.address, LIMIT_S)
+                    client = socket.create_connection(environment.address, LIMIT_S)
                     client.sendall(request(f"{number}"))
                     clients.append(client)
                 await asyncio.sleep(SHORTAGE_S)
@@ -117,14 +126,14 @@
 @pytest.mark.parametrize("error", ERRORS, ids=[errno.errorcode[number] for number in ERRORS])
 def test_a_failure_to_accept_keeps_nobody_from_being_served(error: int, tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            listener = (await ready_node(scene)).frontend._listener
+        async with node_environment(tmp_path, Server()) as environment:
+            listener = (await ready_node(environment)).frontend._listener
             assert listener is not None
             failing = FailingSocket(listener._socket, error, error)
             listener._socket = cast(socket.socket, failing)
-            assert (await scene.ask("a")).status == 200
+            assert (await environment.ask("a")).status == 200
             assert not failing.errors
-            assert (await scene.ask("b")).status == 200
+            assert (await environment.ask("b")).status == 200
 
     run(test())
 
@@ -133,15 +142,15 @@
     """A file that can't be opened for want of descriptors must be read later: the old address is stale."""
 
     async def test() -> None:
-        moved = Registry()
+        moved = ScriptedDiscoveryAgent()
         await moved.start()
-        async with world(tmp_path, Server(), start=False) as scene:
-            program = await start_program(scene)
-            scene.path.write_text(json.dumps(scene.config | {"discovery": moved.address}))
+        async with node_environment(tmp_path, Server(), start=False) as environment:
+            program = await start_program(environment)
+            environment.path.write_text(json.dumps(environment.config | {"discovery": moved.address}))
             with no_free_descriptor(program.process.pid):
                 program.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(SHORTAGE_S)
-            await until(lambda: bool(moved.seen))
+            await until(lambda: bool(moved.received))
         await moved.stop()
 
     run(test())
@@ -152,10 +161,10 @@
     limit = 128
 
     async def test() -> None:
-        async with world(tmp_path, Server(), start=False) as scene:
-            program = await start_program(scene, descriptors=limit)
-            idle = [socket.create_connection(scene.address, LIMIT_S) for _ in range(limit)]
-            assert (await scene.ask("a")).status == 200
+        async with node_environment(tmp_path, Server(), start=False) as environment:
+            program = await start_program(environment, descriptors=limit)
+            idle = [socket.create_connection(environment.address, LIMIT_S) for _ in range(limit)]
+            assert (await environment.ask("a")).status == 200
             assert len(open_descriptors(program.process.pid)) < limit - 10
             for client in idle:
                 client.close()
@@ -178,18 +187,18 @@
         return real(*args)
 
     async def test() -> None:
-        async with world(tmp_path, Server(), start=False) as scene:
-            scene.node = Node(read_config(str(scene.path)), asyncio.get_running_loop())
+        async with node_environment(tmp_path, Server(), start=False) as environment:
+            environment.node = Node(read_config(str(environment.path)), asyncio.get_running_loop())
             failing = functools.partial(fail_three_times, Listener)
             monkeypatch.setattr("workspond.downstream.frontend.Listener", failing)
             if tries > 1:
-                scene.address = await listen(scene.node, ("127.0.0.1", 0))
-                scene.node.start()
-                await ready_node(scene)
-                assert (await scene.ask("a")).status == 200
+                environment.address = await listen(environment.node, ("127.0.0.1", 0))
+                environment.node.start()
+                await ready_node(environment)
+                assert (await environment.ask("a")).status == 200
             else:
                 with pytest.raises(OSError, match="forced"):
-                    await listen(scene.node, ("127.0.0.1", 0))
+                    await listen(environment.node, ("127.0.0.1", 0))
             assert len(calls) == tries
 
     run(test())
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, RESET, Server, World, free_port, run, until, world
+from tests.peers import LIMIT_S, RESET, NodeEnvironment, Server, free_port, node_environment, run, until
 from tests.test_wire import ROOT
 from workspond.observability.log_output import LineHandler, LineWriter
 
@@ -43,10 +43,10 @@
     os.set_blocking(writer, True)
 
 
-async def start_with(scene: World, stderr: int | None, closed: tuple[int, ...] = ()) -> None:
+async def start_with(environment: NodeEnvironment, stderr: int | None, closed: tuple[int, ...] = ()) -> None:
     """Start the program with standard error or with descriptors closed; wait until it watches discovery."""
     listen = f"127.0.0.1:{free_port()}"
-    scene.path.write_text(scene.path.read_text().replace("127.0.0.1:0", listen))
+    environment.path.write_text(environment.path.read_text().replace("127.0.0.1:0", listen))
     host, _, port = listen.rpartition(":")
     closing = " ".join(f"{descriptor}>&-" for descriptor in closed)
     process = await asyncio.create_subprocess_exec(
@@ -55,20 +55,20 @@
         f"exec {sys.executable} -m workspond {closing}",
         cwd=ROOT,
         stderr=stderr,
-        env=os.environ | {"NODE_CONFIG": str(scene.path)},
+        env=os.environ | {"NODE_CONFIG": str(environment.path)},
     )
-    scene.processes.append(process)
-    scene.address = (host, int(port))
-    await until(lambda: scene.registry.watches() > 0)
+    environment.processes.append(process)
+    environment.address = (host, int(port))
+    await until(lambda: environment.agent.watches() > 0)
 
 
 def test_a_node_whose_log_is_not_read_serves(full_pipe: tuple[int, int], tmp_path: Path) -> None:
     """The node blocked in its first line, and was never ready."""
 
     async def test() -> None:
-        async with world(tmp_path, Server(), start=False) as scene:
-            await start_with(scene, full_pipe[1])
-            assert (await scene.ask("a")).status == 200
+        async with node_environment(tmp_path, Server(), start=False) as environment:
+            await start_with(environment, full_pipe[1])
+            assert (await environment.ask("a")).status == 200
 
     run(test())
 
@@ -80,14 +80,14 @@
 
     async def test() -> None:
         reader, writer = pipe
-        async with world(tmp_path, Server(usual=RESET), start=False) as scene:
-            await start_with(scene, writer)
+        async with node_environment(tmp_path, Server(default=RESET), start=False) as environment:
+            await start_with(environment, writer)
             size = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
             fill_pipe(writer)
             for n in range(5):
-                assert (await scene.ask(f"{n}", "pay")).status == 502  # each writes a line
+                assert (await environment.ask(f"{n}", "pay")).status == 502  # each writes a line
             os.read(reader, size)
-            assert (await scene.ask("after", "pay")).status == 502
+            assert (await environment.ask("after", "pay")).status == 502
             os.set_blocking(reader, False)
             text = b""
             async with asyncio.timeout(10.0):
@@ -126,9 +126,9 @@
 def test_a_node_that_cannot_write_its_log_serves(make: Callable[[], int], tmp_path: Path) -> None:
     async def test() -> None:
         stderr = make()
-        async with world(tmp_path, Server(), start=False) as scene:
-            await start_with(scene, stderr)
-            assert (await scene.ask("a")).status == 200
+        async with node_environment(tmp_path, Server(), start=False) as environment:
+            await start_with(environment, stderr)
+            assert (await environment.ask("a")).status == 200
         os.close(stderr)
 
     run(test())
@@ -141,12 +141,12 @@
     """The first socket would get the descriptor's number, and the log's lines."""
 
     async def test() -> None:
-        async with world(tmp_path, Server(usual=RESET), start=False) as scene:
-            await start_with(scene, None, closed)
-            caller = await scene.caller()
+        async with node_environment(tmp_path, Server(default=RESET), start=False) as environment:
+            await start_with(environment, None, closed)
+            caller = await environment.client()
             for n in range(3):
                 assert (await caller.ask(f"{n}", "pay")).status == 502
-            [process] = scene.processes
+            [process] = environment.processes
             targets = [os.readlink(f"/proc/{process.pid}/fd/{number}") for number in closed]
             assert targets == ["/dev/null"] * len(closed)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.peers import CLOSE, HANG, Server, answer, run, settings, until, world
+from tests.peers import CLOSE, HANG, Server, node_environment, render_response, run, settings, until
 from tests.stalled_listener import StalledListener, has_received_nothing
 from workspond.policy.actions import PolicyAction
 from workspond.policy.balancer import Balancer
@@ -23,14 +23,14 @@
 
 def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
     async def test() -> None:
-        servers = [Server(usual=answer(500), name=f"s{n}", group=n % 2) for n in range(4)]
-        async with world(tmp_path, *servers) as scene:
-            responses = await asyncio.gather(*(scene.ask(f"{n}", "save") for n in range(8)))
+        servers = [Server(default=render_response(500), name=f"s{n}", group=n % 2) for n in range(4)]
+        async with node_environment(tmp_path, *servers) as environment:
+            responses = await asyncio.gather(*(environment.ask(f"{n}", "save") for n in range(8)))
             assert {response.status for response in responses} == {502}
         groups: dict[str, list[int]] = {}
         for server in servers:
-            for seen in server.seen:
-                groups.setdefault(seen.id, []).append(server.group)
+            for seen in server.received:
+                groups.setdefault(seen.request_id, []).append(server.group)
         assert all(len(set(sent)) == 1 for sent in groups.values())
         assert max(map(len, groups.values())) > 1  # and some were sent again
 
@@ -39,10 +39,10 @@
 
 def test_a_keyed_request_is_not_sent_again_once_its_window_is_over(tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(usual=answer(500))
-        async with world(tmp_path, server, classes=classes_with(window_ms=20.0)) as scene:
-            assert (await scene.ask("a", "save")).status == 502
-            assert len(server.seen) == 1
+        server = Server(default=render_response(500))
+        async with node_environment(tmp_path, server, classes=classes_with(window_ms=20.0)) as environment:
+            assert (await environment.ask("a", "save")).status == 502
+            assert len(server.received) == 1
 
     run(test())
 
@@ -50,19 +50,19 @@
 def test_nothing_goes_to_a_server_that_drains_or_is_gone(tmp_path: Path) -> None:
     async def test() -> None:
         draining, removed, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
-        async with world(tmp_path, draining, removed, stays) as scene:
+        async with node_environment(tmp_path, draining, removed, stays) as environment:
             for n in range(6):
-                await scene.ask(f"before-{n}")
-            assert draining.seen and removed.seen
-            scene.registry.tell(draining.entry(status="leaving"), removed.entry(status="left"))
-            await until(lambda: len(scene.registry.seen) == 2)
+                await environment.ask(f"before-{n}")
+            assert draining.received and removed.received
+            environment.agent.publish(draining.entry(status="leaving"), removed.entry(status="left"))
+            await until(lambda: len(environment.agent.received) == 2)
             # The next watch has begun, so the update has been read.
             # Idle connections to the removed server are closed.
-            await until(lambda: removed.lost == removed.connections)
-            counts = len(draining.seen), len(removed.seen)
+            await until(lambda: removed.closed_connections == removed.connections)
+            counts = len(draining.received), len(removed.received)
             for n in range(6):
-                await scene.ask(f"after-{n}")
-            assert (len(draining.seen), len(removed.seen)) == counts
+                await environment.ask(f"after-{n}")
+            assert (len(draining.received), len(removed.received)) == counts
 
     run(test())
 
@@ -75,18 +75,18 @@
         await stays.start()
         with StalledListener() as stalled:
             entry = stays.entry() | stalled.entry()
-            async with world(tmp_path, known=False) as scene:
-                scene.registry.tell(entry, snapshot=True)
-                await until(lambda: scene.registry.watches() == 2)
-                response = asyncio.ensure_future(scene.ask("a", "pay"))
-                node = scene.node
+            async with node_environment(tmp_path, known=False) as environment:
+                environment.agent.publish(entry, snapshot=True)
+                await until(lambda: environment.agent.watches() == 2)
+                response = asyncio.ensure_future(environment.ask("a", "pay"))
+                node = environment.node
                 assert node is not None
                 await until(lambda: node._upstream.connection_count() == 1)
-                scene.registry.tell(entry | {"status": "leaving"}, stays.entry())
-                await until(lambda: scene.registry.watches() == 3)
+                environment.agent.publish(entry | {"status": "leaving"}, stays.entry())
+                await until(lambda: environment.agent.watches() == 3)
                 with await stalled.accept() as connection:
                     assert (await response).body == b"done"
-                    assert [seen.id for seen in stays.seen] == ["a"]
+                    assert [seen.request_id for seen in stays.received] == ["a"]
                     assert has_received_nothing(connection)
         await stays.stop()
 
@@ -95,12 +95,12 @@
 
 def test_a_stale_connection_is_replaced_and_nothing_is_sent_twice(tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(*[answer() + CLOSE] * 3)
-        async with world(tmp_path, server) as scene:
+        server = Server(*[render_response() + CLOSE] * 3)
+        async with node_environment(tmp_path, server) as environment:
             for request_id in "abc":
-                assert (await scene.ask(request_id, "pay")).status == 200
-                await until(lambda: server.lost == server.connections)
-            assert [seen.id for seen in server.seen] == list("abc")
+                assert (await environment.ask(request_id, "pay")).status == 200
+                await until(lambda: server.closed_connections == server.connections)
+            assert [seen.request_id for seen in server.received] == list("abc")
 
     run(test())
 
@@ -112,19 +112,21 @@
         servers = [Server(name="s0"), half_dead := Server(name="s1")]
         for server in servers:
             server.pause_s = 0.02
-        async with world(tmp_path, *servers) as scene:
+        async with node_environment(tmp_path, *servers) as environment:
             for n in range(4):
-                await scene.ask(f"first-{n}")
-            half_dead.left.append(HANG)
-            requests = [asyncio.create_task(scene.ask(f"at-once-{n}")) for n in range(4)]
+                await environment.ask(f"first-{n}")
+            half_dead.remaining_script.append(HANG)
+            requests = [asyncio.create_task(environment.ask(f"at-once-{n}")) for n in range(4)]
             await until(lambda: sum(task.done() for task in requests) == 3)
             await asyncio.sleep(0.2)  # ten times the usual delay: the request that hangs is long overdue
-            count_before = len(half_dead.seen)
+            count_before = len(half_dead.received)
             for n in range(10):
-                await scene.ask(f"later-{n}")
-            assert len(half_dead.seen) - count_before >= 3
-            assert scene.node is not None and scene.node._balancer.in_flight == 1  # it still hangs
-            half_dead.hang_up()  # the request is retried elsewhere, or failed
+                await environment.ask(f"later-{n}")
+            assert len(half_dead.received) - count_before >= 3
+            assert (
+                environment.node is not None and environment.node._balancer.in_flight == 1
+            )  # it still hangs
+            half_dead.close_connections()  # the request is retried elsewhere, or failed
             await asyncio.gather(*requests)
 
     run(test())
@@ -133,7 +135,10 @@
 def stated_budgets_s(servers: list[Server], request_id: str) -> list[float]:
     """Return the time-outs that the servers were told with the attempts of a request."""
     return [
-        float(seen.headers["x-budget"]) for server in servers for seen in server.seen if seen.id == request_id
+        float(seen.headers["x-budget"])
+        for server in servers
+        for seen in server.received
+        if seen.request_id == request_id
     ]
 
 
@@ -144,15 +149,15 @@
         servers = [Server(name="s0"), Server(name="s1")]
         for server in servers:
             server.pause_s = 0.05
-        async with world(tmp_path, *servers) as scene:
+        async with node_environment(tmp_path, *servers) as environment:
             for n in range(20):
-                await scene.ask(f"first-{n}")
+                await environment.ask(f"first-{n}")
             for server in servers:
-                server.left.append(HANG)
-            assert (await scene.ask("a")).status == 200
+                server.remaining_script.append(HANG)
+            assert (await environment.ask("a")).status == 200
             first_s, second_s, _ = sorted(stated_budgets_s(servers, "a"))
             assert first_s < 0.7 * second_s
-            await scene.ask("once", "pay")
+            await environment.ask("once", "pay")
             [unsafe_s] = stated_budgets_s(servers, "once")
             assert unsafe_s > 1.5 * first_s
 
@@ -176,14 +181,14 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
+        async with node_environment(tmp_path, server) as environment:
             with caplog.at_level(logging.CRITICAL):
                 for request_id in ("lost", "raises"):
                     loop = asyncio.get_running_loop()
                     sent_at_s = loop.time()
-                    assert (await scene.ask(request_id, budget="0.3")).status == 504
+                    assert (await environment.ask(request_id, budget="0.3")).status == 504
                     assert loop.time() - sent_at_s >= 0.29  # never early
-            assert (await scene.ask("a")).status == 200
+            assert (await environment.ask("a")).status == 200
 
     run(test())
 
@@ -195,9 +200,9 @@
     async def test() -> None:
         server = Server()
         permissions = {"retry_after": allowed, "max_retry_after_ms": 500.0}
-        async with world(tmp_path, server, permissions=permissions) as scene:
-            reply = await scene.ask("a", "pay", budget="0.001")  # no time left for an attempt
-            assert reply.status == 503 and not server.seen
+        async with node_environment(tmp_path, server, permissions=permissions) as environment:
+            reply = await environment.ask("a", "pay", budget="0.001")  # no time left for an attempt
+            assert reply.status == 503 and not server.received
             header = reply.headers.get("retry-after")
             assert retry_after_s == (None if header is None else float(header))
 
@@ -207,17 +212,17 @@
 def test_sockets_stay_within_their_limit_and_idle_ones_make_room(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server, sockets=29) as scene:
-            first = await scene.caller()
+        async with node_environment(tmp_path, server, sockets=29) as environment:
+            first = await environment.client()
             for n in range(9):  # 18 responses: from 20 on the time-out would be 8 times a delay of none
                 await (
-                    scene.caller()
+                    environment.client()
                 )  # sends nothing: such connections are closed before those that have sent a request
-                assert (await scene.ask(f"{n}")).status == 200
+                assert (await environment.ask(f"{n}")).status == 200
                 assert (
                     await first.ask(f"first-{n}")
                 ).status == 200  # the longest idle are closed, not the oldest
-                assert scene.node is not None
-                assert scene.node.frontend.connection_count() <= 15  # of 29
+                assert environment.node is not None
+                assert environment.node.frontend.connection_count() <= 15  # of 29
 
     run(test())
--- a/tests/test_node_client_input.py
+++ b/tests/test_node_client_input.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.peers import Server, answer, request, run, until, world
+from tests.peers import Server, node_environment, render_response, request, run, until
 
 INVALID_REQUESTS = {
     "no HTTP": (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
@@ -65,15 +65,15 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            valid_client, invalid_client = await scene.caller(), await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            valid_client, invalid_client = await environment.client(), await environment.client()
             valid_client.write(request("other"))
-            await until(lambda: len(server.seen) == 1)
+            await until(lambda: len(server.received) == 1)
             invalid_client.write(data)
             assert (await invalid_client.read()).status == status
             server.gate.set()
             assert (await valid_client.read()).status == 200
-            assert [seen.id for seen in server.seen] == ["other"]
+            assert [seen.request_id for seen in server.received] == ["other"]
 
     run(test())
 
@@ -82,10 +82,10 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            owner, other = await scene.caller(), await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            owner, other = await environment.client(), await environment.client()
             owner.write(request("a"))
-            await until(lambda: len(server.seen) == 1)
+            await until(lambda: len(server.received) == 1)
             assert (await other.ask("a")).status == 400
             other.writer.close()
             server.gate.set()
@@ -96,9 +96,9 @@
 
 def test_requests_sent_ahead_are_answered_in_order(tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(answer(200, b"1"), answer(200, b"2"))
-        async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+        server = Server(render_response(200, b"1"), render_response(200, b"2"))
+        async with node_environment(tmp_path, server) as environment:
+            caller = await environment.client()
             caller.write(request("a") + request("b"))
             assert [(await caller.read()).body for _ in range(2)] == [b"1", b"2"]
 
@@ -110,14 +110,14 @@
 def test_requests_come_in_pieces_and_a_caller_may_ask_for_a_close(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            caller = await environment.client()
             for byte in request("a", "pay", body=b"body"):
                 caller.write(bytes([byte]))
                 await caller.writer.drain()
                 await asyncio.sleep(0)
             assert (await caller.read()).status == 200
-            assert server.seen[0].body == b"body"
+            assert server.received[0].body == b"body"
             reply = await caller.ask("b", extra="Connection: close\r\n")
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert await caller.closed()
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -7,24 +7,26 @@
 
 import pytest
 
-from tests.peers import CLOSE, HANG, Server, answer, request, run, until, world
+from tests.peers import CLOSE, HANG, Server, node_environment, render_response, request, run, until
 from workspond.discovery.endpoint_list import server_id
 
 UNUSABLE_RESPONSES = [
     CLOSE,
-    answer(503),
-    answer(200, b"{"),
-    answer(200, b"[]"),
-    answer(200, b'{"index":2}'),
+    render_response(503),
+    render_response(200, b"{"),
+    render_response(200, b"[]"),
+    render_response(200, b'{"index":2}'),
     b"\x00\r\n\r\n",
-    answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'),
-    answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
-    answer(
+    render_response(
+        200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'
+    ),
+    render_response(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
+    render_response(
         200,
         b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1",'
         b'"status":"active","since_ms":1' + b"0" * 400 + b"}]}",
     ),
-    answer(200, b"[" * 100_000),
+    render_response(200, b"[" * 100_000),
 ]
 NOTIFIED_WITHIN_S = 6.0  # after discovery has something new
 READY_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
@@ -35,15 +37,15 @@
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
         await other.start()
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a")).status == 200
-            scene.registry.news.put_nowait(response)
-            await until(lambda: len(scene.registry.seen) >= 2)
-            assert (await scene.ask("b")).status == 200
-            scene.registry.tell(other.entry(), snapshot=True)
-            await until(lambda: len(scene.registry.seen) >= 3)
-            assert (await scene.ask("c")).status == 200
-            assert [seen.id for seen in other.seen] == ["c"]
+        async with node_environment(tmp_path, server) as environment:
+            assert (await environment.ask("a")).status == 200
+            environment.agent.updates.put_nowait(response)
+            await until(lambda: len(environment.agent.received) >= 2)
+            assert (await environment.ask("b")).status == 200
+            environment.agent.publish(other.entry(), snapshot=True)
+            await until(lambda: len(environment.agent.received) >= 3)
+            assert (await environment.ask("c")).status == 200
+            assert [seen.request_id for seen in other.received] == ["c"]
         await other.stop()
 
     run(test())
@@ -52,11 +54,11 @@
 def test_changes_from_before_the_list_bring_the_whole_list(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            await until(lambda: scene.registry.watches() == 1)
-            scene.registry.tell(index=0)
-            await until(lambda: scene.registry.watches() == 2)
-            assert [seen.target.partition("&")[0] for seen in scene.registry.seen] == [
+        async with node_environment(tmp_path, server) as environment:
+            await until(lambda: environment.agent.watches() == 1)
+            environment.agent.publish(index=0)
+            await until(lambda: environment.agent.watches() == 2)
+            assert [seen.target.partition("&")[0] for seen in environment.agent.received] == [
                 "/api/targets",
                 "/api/targets?index=1",
                 "/api/targets",
@@ -69,13 +71,15 @@
 def test_the_next_watch_goes_on_from_the_last_answer_on_the_same_connection(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            await until(lambda: scene.registry.watches() == 1)
+        async with node_environment(tmp_path, server) as environment:
+            await until(lambda: environment.agent.watches() == 1)
             for _ in range(3):
-                scene.registry.tell(server.entry())
-            await until(lambda: scene.registry.watches() == 4)
-            assert [seen.target.partition("&")[0][-1] for seen in scene.registry.seen[1:]] == list("1234")
-            assert scene.registry.connections == 1
+                environment.agent.publish(server.entry())
+            await until(lambda: environment.agent.watches() == 4)
+            assert [seen.target.partition("&")[0][-1] for seen in environment.agent.received[1:]] == list(
+                "1234"
+            )
+            assert environment.agent.connections == 1
 
     run(test())
 
@@ -92,17 +96,19 @@
     rules = {"ask_every_ms": 60_000.0}
 
     async def test() -> None:
-        async with world(tmp_path, Server(), membership_mode=mode, rules=rules) as scene:
+        async with node_environment(tmp_path, Server(), membership_mode=mode, rules=rules) as environment:
             async with asyncio.timeout(NOTIFIED_WITHIN_S):
-                await until(lambda: scene.registry.watches() >= 3)
-            assert scene.registry.connections == 3  # the silent ones are abandoned
+                await until(lambda: environment.agent.watches() >= 3)
+            assert environment.agent.connections == 3  # the silent ones are abandoned
             new = Server(name="new")
             await new.start()
             # The first two of these go to the watches that are lost.
-            scene.registry.tell()
-            scene.registry.tell()
-            scene.registry.tell(new.entry())
-            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 2)
+            environment.agent.publish()
+            environment.agent.publish()
+            environment.agent.publish(new.entry())
+            await until(
+                lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 2
+            )
             await new.stop()
 
     run(test())
@@ -117,14 +123,14 @@
 def test_ready_only_once_a_server_is_known(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server, known=False) as scene:
-            scene.registry.whole = []
-            caller = await scene.caller()
+        async with node_environment(tmp_path, server, known=False) as environment:
+            environment.agent.endpoints = []
+            caller = await environment.client()
             caller.write(READY_CHECK)
             assert (await caller.read()).status == 500
-            await until(lambda: scene.registry.watches() == 1)
-            scene.registry.tell(server.entry(), snapshot=True)
-            await until(lambda: scene.registry.watches() == 2)
+            await until(lambda: environment.agent.watches() == 1)
+            environment.agent.publish(server.entry(), snapshot=True)
+            await until(lambda: environment.agent.watches() == 2)
             caller.write(READY_CHECK)
             assert (await caller.read()).status == 200
 
@@ -139,17 +145,17 @@
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
         await new.start()
-        async with world(tmp_path, old) as scene:
-            scene.registry.gate.clear()
-            scene.registry.whole = [new.entry()]
-            caller, other = await scene.caller(), await scene.caller()
+        async with node_environment(tmp_path, old) as environment:
+            environment.agent.gate.clear()
+            environment.agent.endpoints = [new.entry()]
+            caller, other = await environment.client(), await environment.client()
             caller.write(request("a"))
-            await until(lambda: scene.node is not None and len(scene.node._requests.active) == 1)
-            assert (await other.ask_path("/-/ready")).status == 500
-            scene.registry.gate.set()
+            await until(lambda: environment.node is not None and len(environment.node._requests.active) == 1)
+            assert (await other.get("/-/ready")).status == 500
+            environment.agent.gate.set()
             assert (await caller.read()).status == 200
-            assert (await other.ask_path("/-/ready")).status == 200
-            assert [seen.id for seen in new.seen] == ["a"] and not old.seen
+            assert (await other.get("/-/ready")).status == 200
+            assert [seen.request_id for seen in new.received] == ["a"] and not old.received
         await new.stop()
 
     run(test())
@@ -160,15 +166,17 @@
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
         await new.start()
-        async with world(tmp_path, old) as scene:
-            scene.registry.spoil = [silence] * 3
-            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
-            assert (await scene.ask("a")).status == 200
-            assert [seen.id for seen in old.seen] == ["a"]
-            scene.registry.whole = [new.entry()]
-            await until(lambda: scene.registry.watches() == 1)
-            assert (await scene.ask("b")).status == 200
-            assert [seen.id for seen in new.seen] == ["b"]
+        async with node_environment(tmp_path, old) as environment:
+            environment.agent.faulty_responses = [silence] * 3
+            await until(
+                lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
+            )
+            assert (await environment.ask("a")).status == 200
+            assert [seen.request_id for seen in old.received] == ["a"]
+            environment.agent.endpoints = [new.entry()]
+            await until(lambda: environment.agent.watches() == 1)
+            assert (await environment.ask("b")).status == 200
+            assert [seen.request_id for seen in new.received] == ["b"]
         await new.stop()
 
     run(test())
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from tests.peers import CLOSE, HANG, RESET, Server, answer, run, until, world
+from tests.peers import CLOSE, HANG, RESET, Server, node_environment, render_response, run, until
 
 NOT_HTTP = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
-    "500": answer(500),
-    "404": answer(404),
-    "503 without the mark": answer(503),
-    "504 with another mark": answer(504, headers="X-Rejected: 0\r\n"),
-    "500 with the mark": answer(500, headers="X-Rejected: 1\r\n"),
+    "500": render_response(500),
+    "404": render_response(404),
+    "503 without the mark": render_response(503),
+    "504 with another mark": render_response(504, headers="X-Rejected: 0\r\n"),
+    "500 with the mark": render_response(500, headers="X-Rejected: 1\r\n"),
     "reset": RESET,
     "end": CLOSE,
     "noise": NOT_HTTP,
@@ -32,7 +32,7 @@
     "interim answers without end": b"HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n" * 1000,
     "bad length": b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nabcde",
     "huge length": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
-    "long body": answer(200, b"x" * (64 * 1024 + 1)),
+    "long body": render_response(200, b"x" * (64 * 1024 + 1)),
     "long chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     + b"8000\r\n"
     + b"x" * 0x8000
@@ -43,8 +43,8 @@
     "upgrade": b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
 }
 NEVER_RAN = {
-    "503 turned away": answer(503, headers="X-Rejected: 1\r\n"),
-    "504 turned away": answer(504, headers="X-Rejected: 1\r\n"),
+    "503 turned away": render_response(503, headers="X-Rejected: 1\r\n"),
+    "504 turned away": render_response(504, headers="X-Rejected: 1\r\n"),
 }
 
 
@@ -54,10 +54,10 @@
 ) -> None:
     async def test() -> None:
         server = Server(response)
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a", "pay")).status == 502
-            assert (await scene.ask("b", "pay")).body == b"done"  # and nothing of it reaches the next
-            assert [seen.id for seen in server.seen] == ["a", "b"]
+        async with node_environment(tmp_path, server) as environment:
+            assert (await environment.ask("a", "pay")).status == 502
+            assert (await environment.ask("b", "pay")).body == b"done"  # and nothing of it reaches the next
+            assert [seen.request_id for seen in server.received] == ["a", "b"]
 
     run(test())
 
@@ -66,9 +66,9 @@
 def test_an_unsafe_request_that_was_turned_away_is_sent_again(rejection: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(rejection)
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a", "pay")).body == b"done"
-            assert [seen.id for seen in server.seen] == ["a", "a"]
+        async with node_environment(tmp_path, server) as environment:
+            assert (await environment.ask("a", "pay")).body == b"done"
+            assert [seen.request_id for seen in server.received] == ["a", "a"]
 
     run(test())
 
@@ -76,11 +76,11 @@
 def test_a_connection_that_is_refused_never_ran_it(tmp_path: Path) -> None:
     async def test() -> None:
         down, up = Server(name="down"), Server(name="up")
-        async with world(tmp_path, down, up) as scene:
+        async with node_environment(tmp_path, down, up) as environment:
             await down.stop()
             for n in range(6):  # the round robin selects the one that is down, too
-                assert (await scene.ask(f"{n}", "pay")).body == b"done"
-            assert sorted(seen.id for seen in up.seen) == [f"{n}" for n in range(6)]
+                assert (await environment.ask(f"{n}", "pay")).body == b"done"
+            assert sorted(seen.request_id for seen in up.received) == [f"{n}" for n in range(6)]
 
     run(test())
 
@@ -88,20 +88,27 @@
 def test_silence_is_a_time_out_and_closes_the_connection(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(HANG)
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a", "pay", budget="0.3")).status == 502
-            await until(lambda: server.lost == 1)
-            assert len(server.seen) == 1
+        async with node_environment(tmp_path, server) as environment:
+            assert (await environment.ask("a", "pay", budget="0.3")).status == 502
+            await until(lambda: server.closed_connections == 1)
+            assert len(server.received) == 1
 
     run(test())
 
 
 def test_good_answers_that_bring_more_are_served_and_their_connection_dropped(tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(answer(200, b"one") + answer(200, b"two"), answer(200, b"three") + NOT_HTTP)
-        async with world(tmp_path, server) as scene:
-            assert [(await scene.ask(request_id)).body for request_id in "abc"] == [b"one", b"three", b"done"]
-            assert [seen.connection for seen in server.seen] == [1, 2, 3]
+        server = Server(
+            render_response(200, b"one") + render_response(200, b"two"),
+            render_response(200, b"three") + NOT_HTTP,
+        )
+        async with node_environment(tmp_path, server) as environment:
+            assert [(await environment.ask(request_id)).body for request_id in "abc"] == [
+                b"one",
+                b"three",
+                b"done",
+            ]
+            assert [seen.connection for seen in server.received] == [1, 2, 3]
 
     run(test())
 
@@ -110,11 +117,11 @@
     async def test() -> None:
         body = bytes(range(256)) * 256
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-        server = Server(b"HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n" + answer(200, body), chunked)
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a")).body == body
-            assert (await scene.ask("b")).body == b"abcde"
-            assert [seen.connection for seen in server.seen] == [1, 1]
+        server = Server(b"HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n" + render_response(200, body), chunked)
+        async with node_environment(tmp_path, server) as environment:
+            assert (await environment.ask("a")).body == body
+            assert (await environment.ask("b")).body == b"abcde"
+            assert [seen.connection for seen in server.received] == [1, 1]
 
     run(test())
 
@@ -122,11 +129,13 @@
 def test_what_must_go_on_unchanged_does(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            await scene.ask("a", "save", body=b"x" * 65536, query="?obj=7f&z=%2F", extra="X-Other: 1\r\n")
-            [seen] = server.seen
-            assert seen.first == "POST /save?obj=7f&z=%2F HTTP/1.1"
-            assert (seen.id, seen.headers["idempotency-key"]) == ("a", "key-a")
+        async with node_environment(tmp_path, server) as environment:
+            await environment.ask(
+                "a", "save", body=b"x" * 65536, query="?obj=7f&z=%2F", extra="X-Other: 1\r\n"
+            )
+            [seen] = server.received
+            assert seen.start_line == "POST /save?obj=7f&z=%2F HTTP/1.1"
+            assert (seen.request_id, seen.headers["idempotency-key"]) == ("a", "key-a")
             assert seen.body == b"x" * 65536
             assert 0.0 < float(seen.headers["x-budget"]) < 20.0
 
@@ -138,7 +147,7 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
+        async with node_environment(tmp_path, server) as environment:
             for request_id, class_name in (
                 ("a", "read"),
                 ("b", "pay"),
@@ -146,9 +155,9 @@
                 ("d", "read"),
                 ("e", "save"),
             ):
-                assert (await scene.ask(request_id, class_name)).status == 200
-            assert [seen.connection for seen in server.seen] == [1, 2, 3, 3, 3]
-            assert scene.node is not None and scene.node._upstream.connection_count() == 1
-            await until(lambda: server.lost == 2)
+                assert (await environment.ask(request_id, class_name)).status == 200
+            assert [seen.connection for seen in server.received] == [1, 2, 3, 3, 3]
+            assert environment.node is not None and environment.node._upstream.connection_count() == 1
+            await until(lambda: server.closed_connections == 2)
 
     run(test())
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.client_helpers import open_connections, open_requests, running_node
-from tests.peers import Server, answer, request, run, until, world
+from tests.peers import Server, node_environment, render_response, request, run, until
 
 PIPELINED = 20  # more requests than the node queues
 
@@ -24,12 +24,15 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            client = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            client = await environment.client()
             client.write(requests(PIPELINED))
             assert [(await client.read()).status for _ in range(PIPELINED)] == [200] * PIPELINED
             assert (await client.ask("after")).status == 200
-            assert [seen.id for seen in server.seen] == [*(f"{n}" for n in range(PIPELINED)), "after"]
+            assert [seen.request_id for seen in server.received] == [
+                *(f"{n}" for n in range(PIPELINED)),
+                "after",
+            ]
 
     run(test())
 
@@ -56,11 +59,11 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            client = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            client = await environment.client()
             began_s = time.monotonic()
             client.write(FIRST_REQUEST)
-            await until(lambda: len(server.seen) == 1)
+            await until(lambda: len(server.received) == 1)
             client.write(tail)
             if not hangs:
                 await asyncio.sleep(0.1)
@@ -72,7 +75,7 @@
             assert error.headers["connection"] == "close"
             assert await client.closed()
             assert time.monotonic() - began_s < 3.0
-            assert open_requests(running_node(scene)) == 0
+            assert open_requests(running_node(environment)) == 0
             server.gate.set()
 
     run(test())
@@ -81,12 +84,12 @@
 def test_all_that_was_read_before_an_error_is_served(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            client = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            client = await environment.client()
             client.write(request("a") + request("b") + b"noise\r\n\r\n" + request("c"))
             assert [(await client.read()).status for _ in range(3)] == [200, 200, 400]
             assert await client.closed()
-            assert [seen.id for seen in server.seen] == ["a", "b"]
+            assert [seen.request_id for seen in server.received] == ["a", "b"]
 
     run(test())
 
@@ -97,11 +100,11 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            owner = await scene.caller()
-            other = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            owner = await environment.client()
+            other = await environment.client()
             owner.write(request("a"))
-            await until(lambda: len(server.seen) == 1)
+            await until(lambda: len(server.received) == 1)
             other.write(request("a") + request("b"))
             assert (await other.read()).status == 400
             server.gate.set()
@@ -116,16 +119,16 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            client = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            client = await environment.client()
             client.write(requests(10 * PIPELINED))
-            await until(lambda: len(server.seen) == 1)
+            await until(lambda: len(server.received) == 1)
             client.writer.close()
             await asyncio.sleep(0.1)
             server.gate.set()
-            await until(lambda: open_connections(scene) == 0)
-            assert open_requests(running_node(scene)) == 0
-            assert len(server.seen) <= 2
+            await until(lambda: open_connections(environment) == 0)
+            assert open_requests(running_node(environment)) == 0
+            assert len(server.received) <= 2
 
     run(test())
 
@@ -134,8 +137,10 @@
     """Closed over unread data behind that request, the connection would be reset, and the responses lost."""
 
     async def test() -> None:
-        async with world(tmp_path, Server(usual=answer(200, b"x" * 60_000))) as scene:
-            client = await scene.caller()
+        async with node_environment(
+            tmp_path, Server(default=render_response(200, b"x" * 60_000))
+        ) as environment:
+            client = await environment.client()
             client.write(request("a") + request("b", extra="Connection: close\r\n") + b"x" * 600_000)
             assert [(await client.read()).status for _ in range(2)] == [200, 200]
 
@@ -145,11 +150,11 @@
 def test_a_node_that_ends_serves_all_that_was_sent_ahead(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            client = await scene.caller()
+        async with node_environment(tmp_path, server) as environment:
+            client = await environment.client()
             client.write(requests(PIPELINED))
-            await until(lambda: len(server.seen) >= 1)
-            await running_node(scene).frontend.drain()
+            await until(lambda: len(server.received) >= 1)
+            await running_node(environment).frontend.drain()
             assert [(await client.read()).status for _ in range(PIPELINED)] == [200] * PIPELINED
 
     run(test())
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Caller, Registry, Server, run, world
+from tests.peers import LIMIT_S, Client, ScriptedDiscoveryAgent, Server, node_environment, run
 from tests.program import read_listen_address, spawn
 from workspond.address import parse_address
 
@@ -22,7 +22,7 @@
 
 
 @contextlib.asynccontextmanager
-async def discovery_state(registry: Registry, state: str) -> AsyncIterator[None]:
+async def discovery_state(registry: ScriptedDiscoveryAgent, state: str) -> AsyncIterator[None]:
     """Put discovery into a state for as long as the context lasts."""
     if state == "silent":
         registry.gate.clear()
@@ -38,9 +38,9 @@
         yield
 
 
-async def wait_until_ready(client: Caller) -> None:
+async def wait_until_ready(client: Client) -> None:
     while True:
-        if (await client.ask_path("/-/ready")).status == 200:
+        if (await client.get("/-/ready")).status == 200:
             return
         await asyncio.sleep(READY_POLL_S)
 
@@ -50,7 +50,7 @@
     started_at_s = time.monotonic()
     process = await spawn(path)
     try:
-        client = Caller(*await asyncio.open_connection(*await read_listen_address(process)))
+        client = Client(*await asyncio.open_connection(*await read_listen_address(process)))
         await wait_until_ready(client)
         client.writer.close()
         return time.monotonic() - started_at_s
@@ -65,11 +65,11 @@
 
     async def test() -> None:
         async with (
-            world(tmp_path, Server(), start=False, membership_mode="pushed") as scene,
-            discovery_state(scene.registry, discovery),
+            node_environment(tmp_path, Server(), start=False, membership_mode="pushed") as environment,
+            discovery_state(environment.agent, discovery),
         ):
             async with asyncio.timeout(LIMIT_S):
-                starts = [time_to_ready_s(scene.path) for _ in range(STARTED_AT_ONCE)]
+                starts = [time_to_ready_s(environment.path) for _ in range(STARTED_AT_ONCE)]
                 times_s = sorted(await asyncio.gather(*starts))
             median_s = times_s[STARTED_AT_ONCE // 2]
             print(f"discovery {discovery}: half ready after {median_s:.2f} s, all {times_s[-1]:.2f}")
--- a/tests/test_recorded_answers.py
+++ b/tests/test_recorded_answers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.peers import HANG, Server, run, until, world
+from tests.peers import HANG, Server, node_environment, run, until
 from tests.test_recorded_bytes import DONE, END, ENDED, GET, POST, REFUSED, exchange
 
 PHRASE_413 = HTTPStatus(413).phrase.encode()  # Python 3.13 has another one
@@ -94,9 +94,9 @@
     """
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            await until(lambda: scene.registry.watches() == 1)
-            found = {name: await exchange(scene, sent) for name, (sent, _) in TO_CALLERS.items()}
+        async with node_environment(tmp_path, Server()) as environment:
+            await until(lambda: environment.agent.watches() == 1)
+            found = {name: await exchange(environment, sent) for name, (sent, _) in TO_CALLERS.items()}
             assert found == {name: got for name, (_, got) in TO_CALLERS.items()}
 
     run(test())
@@ -108,13 +108,13 @@
     allowed = {"retry_after": bool(advice), "max_retry_after_ms": 1250.0}
 
     async def test() -> None:
-        async with world(tmp_path, known=False, permissions=allowed) as scene:
-            await until(lambda: scene.registry.watches() == 1)
+        async with node_environment(tmp_path, known=False, permissions=allowed) as environment:
+            await until(lambda: environment.agent.watches() == 1)
             refused = REFUSED.replace(b"Content-Length", advice + b"Content-Length")
             not_ready = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 9\r\n\r\nnot ready"
             for sent, got in ((GET + b"\r\n", refused), (POST + b"\r\n", refused)):
-                assert await exchange(scene, sent + END) == got + ENDED
-            assert await exchange(scene, b"GET /-/ready HTTP/1.1\r\n\r\n" + END) == not_ready + ENDED
+                assert await exchange(environment, sent + END) == got + ENDED
+            assert await exchange(environment, b"GET /-/ready HTTP/1.1\r\n\r\n" + END) == not_ready + ENDED
 
     run(test())
 
@@ -123,13 +123,13 @@
     """An id that is open is not taken again; an error behind a request gives that up in the end."""
 
     async def test() -> None:
-        async with world(tmp_path, server := Server(usual=HANG)) as scene:
-            first = asyncio.ensure_future(exchange(scene, GET + b"\r\nnoise\r\n\r\n"))
-            await until(lambda: len(server.seen) == 1)
+        async with node_environment(tmp_path, server := Server(default=HANG)) as environment:
+            first = asyncio.ensure_future(exchange(environment, GET + b"\r\nnoise\r\n\r\n"))
+            await until(lambda: len(server.received) == 1)
             taken = (
                 b"HTTP/1.1 400 Bad Request\r\nContent-Length: 37\r\n\r\na request with this X-Call-Id is open"
             )
-            assert await exchange(scene, GET + b"\r\n" + END) == taken + ENDED
+            assert await exchange(environment, GET + b"\r\n" + END) == taken + ENDED
             given_up = b"HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 8\r\n\r\ngiven up"
             assert await first == given_up + rejected(b"malformed HTTP")
 
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -15,7 +15,18 @@
 import pytest
 
 from tests import peers
-from tests.peers import HANG, LIMIT_S, Peer, Registry, Server, World, answer, run, until, world
+from tests.peers import (
+    HANG,
+    LIMIT_S,
+    NodeEnvironment,
+    ScriptedDiscoveryAgent,
+    ScriptedListener,
+    Server,
+    node_environment,
+    render_response,
+    run,
+    until,
+)
 
 IDS = b"X-Call-Id: a\r\nX-Budget: 20\r\n"
 GET = b"GET /read HTTP/1.1\r\n" + IDS
@@ -59,7 +70,7 @@
         return await self._keep(self._reader.readexactly(size))
 
 
-class RawPeer(Peer):
+class RawPeer(ScriptedListener):
     """A peer that keeps all bytes it gets."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
@@ -81,13 +92,13 @@
     """A server that keeps all bytes it gets."""
 
 
-class RawRegistry(RawPeer, Registry):
+class RawRegistry(RawPeer, ScriptedDiscoveryAgent):
     """Discovery that keeps all bytes it gets."""
 
 
-async def exchange(scene: World, data: bytes) -> bytes:
+async def exchange(environment: NodeEnvironment, data: bytes) -> bytes:
     """All that a caller gets for what it sends, up to the close."""
-    caller = await scene.caller()
+    caller = await environment.client()
     caller.write(data)
     return await asyncio.wait_for(caller.reader.read(), LIMIT_S)
 
@@ -109,13 +120,18 @@
         b"POST /pay HTTP/1.1\r\n" + SERVED + b"Content-Length: 5\r\n\r\nhi yo",
         DONE,
     ),
-    "a retry after an error": (GET + b"\r\n", [answer(500)], GET_SENT * 2, DONE),
-    "a keyed retry after an error": (SAVE, [answer(500)], SAVE_SENT * 2, DONE),
-    "a keyed retry after two refusals": (SAVE, [answer(503), answer(429)], SAVE_SENT * 3, DONE),
-    "all attempts fail": (GET + b"\r\n", [answer(500)] * 3, GET_SENT * 3, REFUSED),
-    "a status that is no answer": (GET + b"\r\n", [answer(404)] * 3, GET_SENT * 3, REFUSED),
-    "an unsafe one fails": (POST + b"\r\n", [answer(500)], POST_SENT, FAILED),
-    "an unsafe one is refused": (POST + b"\r\n", [answer(503)], POST_SENT, FAILED),
+    "a retry after an error": (GET + b"\r\n", [render_response(500)], GET_SENT * 2, DONE),
+    "a keyed retry after an error": (SAVE, [render_response(500)], SAVE_SENT * 2, DONE),
+    "a keyed retry after two refusals": (
+        SAVE,
+        [render_response(503), render_response(429)],
+        SAVE_SENT * 3,
+        DONE,
+    ),
+    "all attempts fail": (GET + b"\r\n", [render_response(500)] * 3, GET_SENT * 3, REFUSED),
+    "a status that is no answer": (GET + b"\r\n", [render_response(404)] * 3, GET_SENT * 3, REFUSED),
+    "an unsafe one fails": (POST + b"\r\n", [render_response(500)], POST_SENT, FAILED),
+    "an unsafe one is refused": (POST + b"\r\n", [render_response(503)], POST_SENT, FAILED),
     "an unsafe one has no answer in time": (POST.replace(b"20", b"1") + b"\r\n", [HANG], POST_SENT, FAILED),
     "an answer in chunks": (
         GET + b"\r\n",
@@ -125,13 +141,13 @@
     ),
     "an answer with a type and more": (
         GET + b"\r\n",
-        [answer(200, b"{}", "Content-Type: application/json\r\nX-More: 1\r\n")],
+        [render_response(200, b"{}", "Content-Type: application/json\r\nX-More: 1\r\n")],
         GET_SENT,
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}",
     ),
     "two in one write": (
         GET + b"\r\n" + GET.replace(b": a", b": b") + b"\r\n",
-        [answer(200, b"1"), answer(200, b"2")],
+        [render_response(200, b"1"), render_response(200, b"2")],
         GET_SENT + GET_SENT.replace(b": a", b": b"),
         b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2",
     ),
@@ -146,8 +162,8 @@
 
     async def test() -> None:
         server = RawServer(*script)
-        async with world(tmp_path, server) as scene:
-            assert await exchange(scene, sent + END) == answered + ENDED
+        async with node_environment(tmp_path, server) as environment:
+            assert await exchange(environment, sent + END) == answered + ENDED
             assert server.masked() == got
 
     run(test())
@@ -158,11 +174,11 @@
     monkeypatch.setattr(peers, "Registry", RawRegistry)
 
     async def test() -> None:
-        async with world(tmp_path, server := Server()) as scene:
-            registry = scene.registry
+        async with node_environment(tmp_path, server := Server()) as environment:
+            registry = environment.agent
             assert isinstance(registry, RawRegistry)
             await until(lambda: registry.watches() == 1)
-            registry.tell(server.entry(), index=7)
+            registry.publish(server.entry(), index=7)
             await until(lambda: registry.watches() == 2)
             assert registry.masked() == (
                 b"GET /api/targets HTTP/1.1\r\nHost: 127.0.0.1:*\r\n\r\n"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,15 +12,26 @@
 
 import pytest
 
-from tests.peers import HANG, LIMIT_S, Registry, Seen, Server, World, request, run, until, world
+from tests.peers import (
+    HANG,
+    LIMIT_S,
+    Message,
+    NodeEnvironment,
+    ScriptedDiscoveryAgent,
+    Server,
+    node_environment,
+    request,
+    run,
+    until,
+)
 from tests.program import Program
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
 
 
-def write_config(scene: World, registry: Registry) -> None:
+def write_config(environment: NodeEnvironment, registry: ScriptedDiscoveryAgent) -> None:
     """Write a configuration that names another discovery agent."""
-    scene.path.write_text(json.dumps(scene.config | {"discovery": registry.address}))
+    environment.path.write_text(json.dumps(environment.config | {"discovery": registry.address}))
 
 
 async def wait_for_log_line(program: Program, text: bytes) -> None:
@@ -39,34 +50,34 @@
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
         old.gate.clear()
-        other = Registry()
+        other = ScriptedDiscoveryAgent()
         await new.start()
         await other.start()
-        other.whole, other.index = [new.entry()], 1  # versions there are its own
-        async with world(tmp_path, old, start=False) as scene:
-            program = await Program.start(scene)
-            caller = await scene.caller()
+        other.endpoints, other.index = [new.entry()], 1  # versions there are its own
+        async with node_environment(tmp_path, old, start=False) as environment:
+            program = await Program.start(environment)
+            caller = await environment.client()
             caller.write(request("held", "pay"))
-            await until(lambda: len(old.seen) == 1)
+            await until(lambda: len(old.received) == 1)
 
-            scene.path.write_text("{")
+            environment.path.write_text("{")
             program.process.send_signal(signal.SIGHUP)
             await wait_for_log_line(program, b"the old configuration stays")
 
-            write_config(scene, other)
+            write_config(environment, other)
             program.process.send_signal(signal.SIGHUP)
-            await until(lambda: len(other.seen) == 2)
+            await until(lambda: len(other.received) == 2)
             watch = f"/api/targets?index=1&wait={discovery.WATCH_MS}"
-            assert [seen.target for seen in other.seen] == ["/api/targets", watch]
+            assert [seen.target for seen in other.received] == ["/api/targets", watch]
 
             old.gate.set()
             assert (await caller.read()).status == 200
             assert (await caller.ask("next")).status == 200  # on the same connection
-            assert [seen.id for seen in new.seen] == ["next"]
+            assert [seen.request_id for seen in new.received] == ["next"]
 
-            write_config(scene, scene.registry)  # and back again
+            write_config(environment, environment.agent)  # and back again
             program.process.send_signal(signal.SIGHUP)
-            await until(lambda: scene.registry.watches() == 2)
+            await until(lambda: environment.agent.watches() == 2)
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGHUP)
             assert await asyncio.wait_for(program.process.wait(), LIMIT_S) == 0
@@ -83,19 +94,19 @@
 
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
-        other = Registry()
+        other = ScriptedDiscoveryAgent()
         await new.start()
         await other.start()
-        other.whole, other.spoil = [new.entry()], [HANG]
-        async with world(tmp_path, old) as scene:
-            assert (await scene.ask("a")).status == 200
-            assert scene.node is not None
+        other.endpoints, other.faulty_responses = [new.entry()], [HANG]
+        async with node_environment(tmp_path, old) as environment:
+            assert (await environment.ask("a")).status == 200
+            assert environment.node is not None
             host, _, port = other.address.rpartition(":")
             async with asyncio.timeout(4.0):
-                scene.node._discovery.change_address((host, int(port)))
-                await until(lambda: len(other.seen) == 3)
-            assert (await scene.ask("b")).status == 200
-            assert [seen.id for seen in new.seen] == ["b"]
+                environment.node._discovery.change_address((host, int(port)))
+                await until(lambda: len(other.received) == 3)
+            assert (await environment.ask("b")).status == 200
+            assert [seen.request_id for seen in new.received] == ["b"]
         await new.stop()
         await other.stop()
 
@@ -106,10 +117,10 @@
 RELOAD_INTERVAL_S = 0.2
 
 
-class SlowRegistry(Registry):
+class SlowRegistry(ScriptedDiscoveryAgent):
     """An agent that answers each call after a while."""
 
-    async def script(self, message: Seen) -> bytes:
+    async def script(self, message: Message) -> bytes:
         await asyncio.sleep(RESPONSE_DELAY_S)
         return await super().script(message)
 
@@ -122,10 +133,10 @@
         source = SlowRegistry()
         await new.start()
         await source.start()
-        async with world(tmp_path, server) as scene:
-            assert scene.node is not None
-            node, (host, _, port) = scene.node, source.address.rpartition(":")
-            source.whole = [server.entry(), new.entry()]
+        async with node_environment(tmp_path, server) as environment:
+            assert environment.node is not None
+            node, (host, _, port) = environment.node, source.address.rpartition(":")
+            source.endpoints = [server.entry(), new.entry()]
             await until(lambda: len(node._endpoints.in_service) == 1)
             began_s = time.monotonic()
             while len(node._endpoints.in_service) == 1:
@@ -141,20 +152,20 @@
 def test_what_the_old_address_still_says_is_not_heard(tmp_path: Path) -> None:
     async def test() -> None:
         server, ghost = Server(), Server(name="ghost")
-        other = Registry()
+        other = ScriptedDiscoveryAgent()
         await ghost.start()
         await other.start()
-        async with world(tmp_path, server) as scene:
-            other.whole = [server.entry()]
-            await until(lambda: scene.registry.watches() == 1)
-            assert scene.node is not None
+        async with node_environment(tmp_path, server) as environment:
+            other.endpoints = [server.entry()]
+            await until(lambda: environment.agent.watches() == 1)
+            assert environment.node is not None
             host, _, port = other.address.rpartition(":")
-            scene.node._discovery.change_address((host, int(port)))
-            scene.registry.tell(ghost.entry(), snapshot=True)
-            await until(lambda: len(other.seen) == 2)
+            environment.node._discovery.change_address((host, int(port)))
+            environment.agent.publish(ghost.entry(), snapshot=True)
+            await until(lambda: len(other.received) == 2)
             for number in range(4):
-                assert (await scene.ask(f"{number}")).status == 200
-            assert not ghost.seen and len(server.seen) == 4
+                assert (await environment.ask(f"{number}")).status == 200
+            assert not ghost.received and len(server.received) == 4
         await ghost.stop()
         await other.stop()
 
@@ -173,18 +184,18 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)  # its queue is full with one connection: the next handshake hangs
             await asyncio.to_thread(queue_filler.connect, listener.getsockname())
-            async with world(tmp_path, server) as scene:
-                assert scene.node is not None
+            async with node_environment(tmp_path, server) as environment:
+                assert environment.node is not None
                 reasons: list[str] = []
-                on_failure = scene.node.watch_failed
+                on_failure = environment.node.watch_failed
 
                 def watch_failed(reason: str) -> None:
                     reasons.append(reason)
                     on_failure(reason)
 
-                monkeypatch.setattr(scene.node, "watch_failed", watch_failed)
-                scene.node._discovery.change_address(listener.getsockname())
+                monkeypatch.setattr(environment.node, "watch_failed", watch_failed)
+                environment.node._discovery.change_address(listener.getsockname())
                 await until(lambda: sum("can't connect" in reason for reason in reasons) >= 2)
-                assert (await scene.ask("a")).status == 200
+                assert (await environment.ask("a")).status == 200
 
     run(test())
--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.peers import Server, answer, run, world
+from tests.peers import Server, node_environment, render_response, run
 from workspond.policy.token_bucket import TokenBucket
 
 MAX_LINES = 2
@@ -19,10 +19,10 @@
     caplog.set_level(logging.INFO, "workspond")
 
     async def test() -> None:
-        server = Server(answer(), answer(500))
-        async with world(tmp_path, server) as scene:
-            await scene.ask("good", "pay")
-            await scene.ask("bad", "pay")
+        server = Server(render_response(), render_response(500))
+        async with node_environment(tmp_path, server) as environment:
+            await environment.ask("good", "pay")
+            await environment.ask("bad", "pay")
 
     run(test())
     [line] = [text for text in caplog.messages if text.startswith("request ")]
@@ -42,11 +42,11 @@
     caplog.set_level(logging.INFO, "workspond")
 
     async def test() -> None:
-        async with world(tmp_path, Server(usual=answer(500))) as scene:
-            assert scene.node is not None
-            scene.node._requests._tracer._budget = UnfilledBucket(tokens=MAX_LINES, now_ms=0.0)
+        async with node_environment(tmp_path, Server(default=render_response(500))) as environment:
+            assert environment.node is not None
+            environment.node._requests._tracer._budget = UnfilledBucket(tokens=MAX_LINES, now_ms=0.0)
             for n in range(MAX_LINES + 3):
-                await scene.ask(f"{n}", "pay")
+                await environment.ask(f"{n}", "pay")
 
     run(test())
     assert sum(text.startswith("request ") for text in caplog.messages) == MAX_LINES
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.helpers import settings
-from tests.peers import RESET, Server, run, world
+from tests.peers import RESET, Server, node_environment, run
 from workspond.clock import now_ms
 from workspond.policy.events import Outcome
 from workspond.policy.retry_policy import RetryPolicy
@@ -84,10 +84,10 @@
     monkeypatch.setattr(RetryPolicy, "repeat_deadline_at_ms", lambda self, call: math.inf)
 
     async def test() -> None:
-        server = Server(usual=RESET)
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a", "pay")).status in (502, 503, 504)
-            assert [seen.id for seen in server.seen] == ["a"]
+        server = Server(default=RESET)
+        async with node_environment(tmp_path, server) as environment:
+            assert (await environment.ask("a", "pay")).status in (502, 503, 504)
+            assert [seen.request_id for seen in server.received] == ["a"]
 
     run(test())
     assert any("invariant broken" in message for message in caplog.messages)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Server, run, world
+from tests.peers import LIMIT_S, Server, node_environment, run
 from tests.program import Program, spawn
 
 STARTS = 5
@@ -31,9 +31,9 @@
     """The event loop gives signals back to the system before the process has ended."""
 
     async def test() -> None:
-        async with world(tmp_path, Server(), start=False) as scene:
+        async with node_environment(tmp_path, Server(), start=False) as environment:
             for _ in range(STARTS):
-                program = await Program.start(scene)
+                program = await Program.start(environment)
                 program.process.send_signal(signal.SIGTERM)
                 assert await signal_until_it_ends(program.process, signal.SIGHUP) == 0
 
@@ -45,16 +45,16 @@
     """The signal ended the process: its handlers were not there yet."""
 
     async def test() -> None:
-        async with world(tmp_path, Server(), start=False) as scene:
-            text = scene.path.read_text()
-            scene.path.unlink()
-            os.mkfifo(scene.path)  # the process waits in it for its configuration
-            process = await spawn(scene.path)
-            scene.processes.append(process)
-            with await asyncio.to_thread(scene.path.open, "w") as file:
+        async with node_environment(tmp_path, Server(), start=False) as environment:
+            text = environment.path.read_text()
+            environment.path.unlink()
+            os.mkfifo(environment.path)  # the process waits in it for its configuration
+            process = await spawn(environment.path)
+            environment.processes.append(process)
+            with await asyncio.to_thread(environment.path.open, "w") as file:
                 complete_file = tmp_path / "complete.json"
                 complete_file.write_text(text)
-                complete_file.replace(scene.path)  # for the reload
+                complete_file.replace(environment.path)  # for the reload
                 process.send_signal(number)
                 file.write(text)
             _, errors = await read_until(process, b"configuration reloaded")
--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -10,7 +10,17 @@
 
 import pytest
 
-from tests.peers import CLOSE, RESET, Registry, Seen, Server, World, run, until, world
+from tests.peers import (
+    CLOSE,
+    RESET,
+    Message,
+    NodeEnvironment,
+    ScriptedDiscoveryAgent,
+    Server,
+    node_environment,
+    run,
+    until,
+)
 from workspond.discovery import agent_client as agent_link
 
 PIECES = 15  # at their interval they take longer than the timeout of a poll
@@ -19,14 +29,14 @@
 RESPONSE_DELAY_S = 1.7  # longer than any call's timeout
 
 
-class TricklingRegistry(Registry):
+class TricklingRegistry(ScriptedDiscoveryAgent):
     """An agent that writes complete lists piece by piece."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
         await super()._serve(reader, writer)
 
-    async def script(self, message: Seen) -> bytes:
+    async def script(self, message: Message) -> bytes:
         data = await super().script(message)
         if "index=" in message.target:
             return data
@@ -38,12 +48,14 @@
 
 
 @contextlib.asynccontextmanager
-async def node_to_start(source: Registry, server: Server, path: Path) -> AsyncIterator[World]:
+async def node_to_start(
+    source: ScriptedDiscoveryAgent, server: Server, path: Path
+) -> AsyncIterator[NodeEnvironment]:
     """A node that is not started yet and knows no server; its agent is `source`."""
     await source.start()
-    async with world(path, server, start=False, known=False) as scene:
-        scene.path.write_text(json.dumps(scene.config | {"discovery": source.address}))
-        yield scene
+    async with node_environment(path, server, start=False, known=False) as environment:
+        environment.path.write_text(json.dumps(environment.config | {"discovery": source.address}))
+        yield environment
     await source.stop()
 
 
@@ -61,10 +73,10 @@
 
     async def test() -> None:
         server, source = Server(), TricklingRegistry()
-        async with node_to_start(source, server, tmp_path) as scene:
-            source.whole = [server.entry()]
-            await scene.begin()
-            await until(lambda: scene.node is not None and scene.node.is_ready())
+        async with node_to_start(source, server, tmp_path) as environment:
+            source.endpoints = [server.entry()]
+            await environment.start_node()
+            await until(lambda: environment.node is not None and environment.node.is_ready())
             assert source.connections == 1
 
     run(test())
@@ -74,12 +86,14 @@
     """It was never read, and the node never ready."""
 
     async def test() -> None:
-        server, source = Server(), Registry()
-        async with node_to_start(source, server, tmp_path) as scene:
-            source.spoil = [without_length(source.listing([server.entry()], True)) + CLOSE]
-            await scene.begin()
+        server, source = Server(), ScriptedDiscoveryAgent()
+        async with node_to_start(source, server, tmp_path) as environment:
+            source.faulty_responses = [
+                without_length(source.render_list([server.entry()], complete=True)) + CLOSE
+            ]
+            await environment.start_node()
             await until(lambda: source.watches() > 0)
-            assert scene.node is not None and scene.node._endpoints.in_service
+            assert environment.node is not None and environment.node._endpoints.in_service
 
     run(test())
 
@@ -92,15 +106,15 @@
     async def test() -> None:
         server, source = Server(), TricklingRegistry()
         await source.start()
-        async with world(tmp_path, server) as scene:
-            await until(lambda: scene.registry.watches() > 0)
-            assert scene.node is not None
-            source.whole = [server.entry(name=f"s{number}" + "x" * 200) for number in range(50)]
+        async with node_environment(tmp_path, server) as environment:
+            await until(lambda: environment.agent.watches() > 0)
+            assert environment.node is not None
+            source.endpoints = [server.entry(name=f"s{number}" + "x" * 200) for number in range(50)]
             monkeypatch.setattr("tests.test_slow_endpoint_lists.PIECES", 1000)
             host, _, port = source.address.rpartition(":")
-            scene.node._discovery.change_address((host, int(port)))
+            environment.node._discovery.change_address((host, int(port)))
             await until(lambda: source.connections == 2)
-            assert (await scene.ask("a")).status == 200  # by the list as it was
+            assert (await environment.ask("a")).status == 200  # by the list as it was
         await source.stop()
 
     run(test())
@@ -114,10 +128,10 @@
     return head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
 
 
-class LateRegistry(Registry):
+class LateRegistry(ScriptedDiscoveryAgent):
     """An agent that begins each answer well after the call's timeout."""
 
-    async def script(self, message: Seen) -> bytes:
+    async def script(self, message: Message) -> bytes:
         await asyncio.sleep(RESPONSE_DELAY_S)
         return await super().script(message)
 
@@ -128,12 +142,16 @@
     async def test() -> None:
         server, new, source = Server(), Server(name="new"), LateRegistry()
         await new.start()
-        async with node_to_start(source, server, tmp_path) as scene:
-            source.whole = [server.entry()]
-            await scene.begin()
-            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
-            source.tell(new.entry())
-            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 2)
+        async with node_to_start(source, server, tmp_path) as environment:
+            source.endpoints = [server.entry()]
+            await environment.start_node()
+            await until(
+                lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
+            )
+            source.publish(new.entry())
+            await until(
+                lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 2
+            )
             assert source.connections <= 8
         await new.stop()
 
@@ -153,12 +171,12 @@
 @pytest.mark.parametrize("frame", FRAMINGS.values(), ids=FRAMINGS.keys())
 def test_lists_are_read_in_every_framing(frame: Callable[[bytes], bytes], tmp_path: Path) -> None:
     async def test() -> None:
-        server, source = Server(), Registry()
-        async with node_to_start(source, server, tmp_path) as scene:
-            source.spoil = [frame(source.listing([server.entry()], True))]
-            await scene.begin()
+        server, source = Server(), ScriptedDiscoveryAgent()
+        async with node_to_start(source, server, tmp_path) as environment:
+            source.faulty_responses = [frame(source.render_list([server.entry()], complete=True))]
+            await environment.start_node()
             await until(lambda: source.watches() > 0)
-            assert scene.node is not None and scene.node._endpoints.in_service
+            assert environment.node is not None and environment.node._endpoints.in_service
 
     run(test())
 
@@ -167,11 +185,13 @@
     """What came before it is a complete list by itself."""
 
     async def test() -> None:
-        server, source = Server(), Registry()
-        async with node_to_start(source, server, tmp_path) as scene:
-            source.spoil = [without_length(source.listing([server.entry()], True)) + RESET]
-            await scene.begin()
-            await until(lambda: len(source.seen) >= 2)
-            assert [seen.target for seen in source.seen[:2]] == ["/api/targets"] * 2
+        server, source = Server(), ScriptedDiscoveryAgent()
+        async with node_to_start(source, server, tmp_path) as environment:
+            source.faulty_responses = [
+                without_length(source.render_list([server.entry()], complete=True)) + RESET
+            ]
+            await environment.start_node()
+            await until(lambda: len(source.received) >= 2)
+            assert [seen.target for seen in source.received[:2]] == ["/api/targets"] * 2
 
     run(test())
--- a/tests/test_start_and_stop.py
+++ b/tests/test_start_and_stop.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Server, request, run, until, world
+from tests.peers import LIMIT_S, Server, node_environment, request, run, until
 from tests.program import Program, spawn
 
 
@@ -17,14 +17,14 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server, start=False) as scene:
-            program = await Program.start(scene)
-            idle_client, waiting_client = await scene.caller(), await scene.caller()
+        async with node_environment(tmp_path, server, start=False) as environment:
+            program = await Program.start(environment)
+            idle_client, waiting_client = await environment.client(), await environment.client()
             server.gate.set()
             assert (await idle_client.ask("before")).status == 200
             server.gate.clear()
             waiting_client.write(request("held", "pay"))
-            await until(lambda: len(server.seen) == 2)
+            await until(lambda: len(server.received) == 2)
             program.process.send_signal(signal.SIGTERM)
             await program.refuses()
             server.gate.set()
@@ -71,9 +71,11 @@
 
 def test_an_address_in_use_is_one_line_and_status_2(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, start=False) as scene:
-            scene.path.write_text(json.dumps(scene.config | {"listen": scene.registry.address}))
-            process = await spawn(scene.path)
+        async with node_environment(tmp_path, start=False) as environment:
+            environment.path.write_text(
+                json.dumps(environment.config | {"listen": environment.agent.address})
+            )
+            process = await spawn(environment.path)
             _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
             [line] = errors.decode().splitlines()
             assert process.returncode == 2 and "in use" in line
--- a/tests/test_update_latency.py
+++ b/tests/test_update_latency.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.peers import Server, answer, read_message, run, until, world
+from tests.peers import Server, node_environment, read_message, render_response, run, until
 from workspond import node
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
@@ -113,7 +113,7 @@
 
     def _answer(self, writer: asyncio.StreamWriter, *, is_poll: bool) -> None:
         update = {"index": self.requests_received, "snapshot": is_poll, "endpoints": self.endpoints}
-        response = answer(200, json.dumps(update).encode())
+        response = render_response(200, json.dumps(update).encode())
         first_half = response[: len(response) // 2]
         match self.failure:
             case None:
@@ -125,7 +125,7 @@
                 writer.write(first_half)
                 writer.close()
             case Failure.STATUS_500:
-                writer.write(answer(500))
+                writer.write(render_response(500))
             case Failure.RESET:
                 _reset(writer)
 
@@ -185,9 +185,12 @@
     async def test() -> None:
         new = Server(name="new")
         await new.start()
-        async with failing_agent() as agent, world(tmp_path, Server(), membership_mode=mode) as scene:
-            assert scene.node is not None
-            watcher = scene.node._discovery
+        async with (
+            failing_agent() as agent,
+            node_environment(tmp_path, Server(), membership_mode=mode) as environment,
+        ):
+            assert environment.node is not None
+            watcher = environment.node._discovery
             on_failure = watcher._listener.watch_failed
             reasons: list[str] = []
             failures_to_come = list(failures)
@@ -202,7 +205,9 @@
             monkeypatch.setattr(watcher._listener, "watch_failed", watch_failed)
             agent.endpoints.append(new.entry())  # from now on discovery has the update
             agent.reset_connections()  # the first failure, before those named: the watch breaks
-            await until(lambda: scene.node is not None and len(scene.node._endpoints.in_service) == 1)
+            await until(
+                lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
+            )
             assert len(reasons) == len(failures) + 1, reasons
         await new.stop()
 
