--- a/workspond/policy/__init__.py
+++ b/workspond/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The load-balancing decisions: typed events in, typed actions out, no I/O."""
+"""The load-balancing policy: typed events in, typed actions out, no I/O and no clock of its own."""
--- a/workspond/policy/actions.py
+++ b/workspond/policy/actions.py
@@ -1,6 +1,6 @@
-"""What the decisions ask a node to do: their output.
+"""Actions: the output of the policy, which the node carries out.
 
-Times are in milliseconds. Ids are the node's own, as it gave them in events.
+Ids are those that the node gave in events.
 """
 
 from __future__ import annotations
@@ -11,11 +11,16 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start the request's next attempt on a server; give it up after `timeout_ms`.
-
-    `fresh`: on a connection of its own, as one that was kept may be dead without a sign of it, and what
-    is lost on it may have run. `within_ms`: if it has not been written by then it must not be any more (a
-    connection may take its time to come up) and ends as `NOT_SENT`.
+    """Send the next attempt of a request.
+
+    Attributes:
+        request_id: The request.
+        server_id: The server to send it to.
+        timeout_ms: The attempt ends as `TIMEOUT` after this time.
+        new_connection: Whether it needs a new connection. An idle one may have been dropped without a sign,
+            and a request that is lost on it may have run.
+        send_within_ms: If the attempt has not been written within this time, for example because the
+            connection took too long, it must not be written any more and ends as `NOT_SENT`.
     """
 
     request_id: str
@@ -27,14 +32,19 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """End the request with an error; the client is not told whether it ran."""
+    """End the request with an error, which leaves open whether it ran."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """End the request unserved; the client learns that a retry is harmless."""
+    """End the request with a rejection, which tells the client that a retry is harmless.
+
+    Attributes:
+        request_id: The request.
+        retry_after_ms: The advice when to retry; 0: none.
+    """
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -42,7 +52,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Call off an attempt."""
+    """Cancel an attempt."""
 
     request_id: str
     attempt_number: int
@@ -50,14 +60,14 @@
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Give back the connections to a server that carry nothing now."""
+    """Close the idle connections to a server."""
 
     server_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Deliver `TimerFired(token)` after `delay_ms`."""
+    """Deliver `TimerFired` with this token after `delay_ms`."""
 
     token: int
     delay_ms: float
@@ -65,12 +75,12 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for a standing subscription."""
+    """Subscribe to the endpoint list."""
 
 
 @dataclass(slots=True)
 class WriteLog:
-    """A line for the operators."""
+    """Write a line to the log."""
 
     text: str
 
--- a/workspond/policy/events.py
+++ b/workspond/policy/events.py
@@ -1,6 +1,6 @@
-"""What happens to a node, as typed events: the input of the decisions.
+"""Events: the input of the policy.
 
-Times are in milliseconds. Ids are the node's own and come back unchanged in actions.
+Ids are chosen by the node and come back unchanged in actions.
 """
 
 from __future__ import annotations
@@ -12,39 +12,45 @@
 
 
 class UpdateKind(Enum):
-    """What a piece of news from discovery is."""
+    """What an update of the endpoint list contains."""
 
-    INCREMENTAL = "incremental"  # only the entries that changed
-    COMPLETE = "complete"  # replaces the old list
-    CACHED = "cached"  # the list as the node last had it, perhaps old
-    FAILED = "failed"  # a subscription or call failed or broke; no entries
+    INCREMENTAL = "incremental"  # the entries that changed
+    COMPLETE = "complete"  # all entries; replaces the previous list
+    CACHED = "cached"  # all entries as the node last saved them; they may be out of date
+    FAILED = "failed"  # no entries: a subscription or a poll failed
 
 
 class Outcome(IntEnum):
     """How an attempt ended.
 
-    `REJECTED`, `CONNECT_FAILED` and `NOT_SENT` prove that it never ran, but for `REJECTED` where the settings
-    say so (`rejected_may_have_run`).
+    `REJECTED`, `CONNECT_FAILED` and `NOT_SENT` prove that it never ran; `REJECTED` does not where
+    `Settings.rejected_may_have_run` is set.
     """
 
-    SUCCESS = 0
-    ERROR = 1
-    REJECTED = 2
-    TIMEOUT = 3
-    CONNECT_FAILED = 4
-    RESET = 5
-    CANCELLED = 6
-    NOT_SENT = 7
+    SUCCESS = 0  # a complete response
+    ERROR = 1  # the server answered that it failed
+    REJECTED = 2  # the server answered that it does not take the request now
+    TIMEOUT = 3  # no response within the timeout of the attempt
+    CONNECT_FAILED = 4  # no connection to the server
+    RESET = 5  # the connection was lost before the response was complete
+    CANCELLED = 6  # the node cancelled it
+    NOT_SENT = 7  # it was blocked before it was written
 
 
 @dataclass(slots=True)
 class NodeStarted:
-    """The node is up."""
+    """The node has started."""
 
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """News from discovery."""
+    """An update of the endpoint list.
+
+    Attributes:
+        kind: What `endpoints` contains.
+        version: The version of the list.
+        endpoints: The entries.
+    """
 
     kind: UpdateKind
     version: int = 0
@@ -53,7 +59,15 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """The node has accepted a request and owes it one final answer."""
+    """The node has received a request, which gets one final answer.
+
+    Attributes:
+        request_id: The node's id of the request.
+        class_name: The name of its `RequestClass`.
+        ttl_ms: For how long the client waits for the answer.
+        tenant: The name of the tenant that it belongs to, if any.
+        is_client_retry: Whether the client says that it is a retry.
+    """
 
     request_id: str
     class_name: str
@@ -64,7 +78,18 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt is over. `settled`: nothing more is owed for the request."""
+    """An attempt has ended.
+
+    Attributes:
+        request_id: The request.
+        attempt_number: The attempt among those of the request, from 0.
+        server_id: The server.
+        outcome: How it ended.
+        duration_ms: The time from send to end.
+        request_finished: Whether the request has its final answer, or needs none any more.
+        load_report: What the server reported of its load in the response, by name. The policy uses `queue`,
+            the number of requests that wait there.
+    """
 
     request_id: str
     attempt_number: int
@@ -77,7 +102,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer to an attempt has begun to flow; the request is bound to it."""
+    """The response to an attempt has begun to stream to the client, so the request cannot be retried."""
 
     request_id: str
     attempt_number: int
@@ -86,14 +111,14 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """Nobody waits for this request any more."""
+    """The request needs no answer any more, as its client has disconnected."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer has come due."""
+    """A timer of `SetTimer` has fired."""
 
     token: int
 
