--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -16,8 +16,8 @@
     SetTimer,
     Subscribe,
 )
-from workspond.policy.admission import START
 from workspond.policy.balancer import Balancer
+from workspond.policy.concurrency_limit import INITIAL_PER_SERVER
 from workspond.policy.endpoint import Endpoint, EndpointState
 from workspond.policy.events import (
     AttemptEnded,
@@ -30,9 +30,9 @@
     UpdateKind,
 )
 from workspond.policy.fleet import SLICES
-from workspond.policy.retry_policy import RETRY_WAIT_MS, RETRY_WAIT_SHARE
+from workspond.policy.retry_policy import MAX_BASE_BACKOFF_MS, BASE_BACKOFF_FRACTION
 from workspond.policy.settings import Idempotency, RequestClass, Settings, Tenant
-from workspond.policy.subscription_backoff import ASK_LONGEST_MS
+from workspond.policy.subscription_backoff import MAX_SUBSCRIPTION_BACKOFF_MS
 
 
 def test_first_sends_take_even_turns() -> None:
@@ -157,7 +157,7 @@
         assert timer.delay_ms < node.balancer.settings.poll_interval_ms / 4
         seldom = Node(salt=salt, requires_subscription=True, poll_interval_ms=60_000.0)
         [timer] = timers(seldom.do(EndpointUpdate(UpdateKind.FAILED)))
-        assert timer.delay_ms <= ASK_LONGEST_MS  # the sum of waits counts on it
+        assert timer.delay_ms <= MAX_SUBSCRIPTION_BACKOFF_MS  # the sum of waits counts on it
     assert len(delays) == 5
 
 
@@ -391,7 +391,7 @@
         for n in range(20):
             node.ask(f"f{n}")
             node.end(f"f{n}", Outcome.ERROR, 1.0, request_finished=False)
-            node.do(TimerFired(node.balancer._token), 3000.0)
+            node.do(TimerFired(node.balancer._timers.last_token), 3000.0)
         n = fill(node)
         node.ask("dear", "keyed_all")
         for k in range(n):
@@ -455,7 +455,7 @@
     for n in range(40):
         node.ask(f"f{n}")
         node.end(f"f{n}", Outcome.CONNECT_FAILED, 100.0)
-    assert node.balancer.admission.concurrency_limit(4.0, node.now) == START * 4.0
+    assert node.balancer.admission.concurrency_limit(4.0, node.now) == INITIAL_PER_SERVER * 4.0
     assert sends(node.ask("later"))
 
 
@@ -520,7 +520,7 @@
     """Four times 0.1 ms is less than a loop's own jitter, and the retry waited its back-off all the same."""
     node = Node()
     node.serve(40, delay_ms=0.1)
-    back_off_ms = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * 1000.0)
+    back_off_ms = min(MAX_BASE_BACKOFF_MS, BASE_BACKOFF_FRACTION * 1000.0)
     [first] = sends(node.ask("a"))
     assert first.timeout_ms == pytest.approx(back_off_ms)
     [timer] = timers(node.end("a", Outcome.TIMEOUT, first.timeout_ms))
@@ -559,7 +559,7 @@
     node.now += 1.0
     node.serve(1)
     room = node.balancer.admission.concurrency_limit(1.0, node.now + 300.0)
-    node.balancer.admission.concurrency_limit = lambda part, now_ms: 3.0  # type: ignore[method-assign]
+    node.balancer.admission.concurrency_limit = lambda servers, now_ms: 3.0  # type: ignore[method-assign]
     assert room > 0.0 and not sends(node.ask("held", "unsafe"))
     node.now += 300.0
     assert sends(node.ask("room", "unsafe"))
@@ -571,7 +571,7 @@
     for n in range(100):
         node.ask(f"a{n}")
     first = list(node.sent)
-    assert START * 4 * 0.8 <= len(first) <= START * 4
+    assert INITIAL_PER_SERVER * 4 * 0.8 <= len(first) <= INITIAL_PER_SERVER * 4
     for id in first[:10]:
         node.end(id, Outcome.SUCCESS, 1.0)
     assert len(node.sent) >= len(first) + 18  # each answer lets two out: its own place and one more
@@ -637,7 +637,8 @@
     cheap = sum(bool(sends(node.ask(f"cheap{n}"))) for n in range(100))
     assert cheap < 70  # the class of least value goes first
     deeper = Node(servers=4, tier=1)
-    deeper.balancer.controller._shed, deeper.balancer.controller._last_ms = 0.8, deeper.now
+    deeper.balancer.controller._shed_fraction = 0.8
+    deeper.balancer.controller._sampled_at_ms = deeper.now
     assert sends(deeper.ask("a"))  # deeper, a refusal wastes work done above
 
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -382,8 +382,9 @@
             own, module = scene.node, scene.node._balancer
             assert not own._live and not own._open_ids and not own._attempts and not own._events
             assert len(own._addresses) == len(own._in_service) == len(module.fleet.servers) == 1
-            assert not module._calls and not module._waiting and not any(module._queue._queues.values())
-            assert len(module.retry_policy._taken._times) + len(module.retry_policy._further._times) <= 2
+            assert not module._calls and not module._timers._calls and not any(module._queue._queues.values())
+            policy = module.retry_policy
+            assert len(policy._requests._times_ms) + len(policy._retries._times_ms) <= 2
             assert own._upstream.connection_count() <= 1 and sum(map(len, own._upstream._idle.values())) <= 1
 
     run(test())
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from workspond.policy.admission import ADDED, START, WINDOW_SHARE, window
+from workspond.policy.concurrency_limit import (
+    ADDED_PER_SERVER,
+    DELAY_OBJECTIVE_RATIO,
+    INITIAL_PER_SERVER,
+    concurrency_limit,
+)
 from workspond.policy.retry_controller import PHASE_MARGIN, RetryController
 
 
@@ -12,7 +17,7 @@
     now = 0.0
     for _ in range(count):
         now += gap_ms
-        controller.record_response(delay_ms, 1000.0, now, True)
+        controller.record_response(delay_ms, 1000.0, now, is_success=True)
     return now
 
 
@@ -39,13 +44,13 @@
 def test_integral_and_rate_by_hand() -> None:
     """Two answers of 100 ms, aim 1 s, one second apart: tau0 = 0.4 s, e = 0.3 s."""
     controller = RetryController()
-    controller.record_response(100.0, 1000.0, 1000.0, True)
+    controller.record_response(100.0, 1000.0, 1000.0, is_success=True)
     # nu1 = 1 / 1 s; a fresh copy starts with its integral at nu1, where both are clamped.
     assert controller.tuned_rate == pytest.approx(1.0)
     assert controller.integral == pytest.approx(1.0)
     assert controller.allowed_rate == pytest.approx(1.0)
-    controller.record_response(1300.0, 1000.0, 2000.0, True)
-    # The older sample has faded by exp(-1/5), and two show their error as two of FEW_SAMPLES = 4:
+    controller.record_response(1300.0, 1000.0, 2000.0, is_success=True)
+    # The older sample has faded by exp(-1/5), and two show their error as two of MIN_SAMPLES = 4:
     # e = (0.3 * 0.81873 - 0.9) / 4 = -0.16360. nu1 leaves its band (1 + exp(-1/5) = 1.8187 > 1.5:
     # retuned, the integral scaled along).
     rate, error = 1.0 + math.exp(-0.2), (0.3 * math.exp(-0.2) - 0.9) / 4.0
@@ -63,8 +68,8 @@
         for _ in range(30):
             now += 200.0
             if controller is watched:
-                window(controller, 1.0, now - 10.0)
-            controller.record_response(700.0, 1000.0, now, True)
+                concurrency_limit(controller, 1.0, now - 10.0)
+            controller.record_response(700.0, 1000.0, now, is_success=True)
     assert watched.integral == pytest.approx(plain.integral, rel=0.01)
     assert 0.0 < plain.shed_fraction(now) < 1.0
 
@@ -76,7 +81,7 @@
     shed = controller.shed_fraction(now)
     assert shed > 0.5
     assert controller.shed_fraction(now + 20_000.0) <= 0.2 * shed
-    controller.record_response(100.0, 1000.0, now + 20_000.0, True)
+    controller.record_response(100.0, 1000.0, now + 20_000.0, is_success=True)
     assert controller.shed_fraction(now + 20_000.0) < 0.5 * shed
 
 
@@ -86,7 +91,7 @@
     tuned = controller.tuned_rate
     for _ in range(20):  # ten per cent faster
         now += 90.0
-        controller.record_response(100.0, 1000.0, now, True)
+        controller.record_response(100.0, 1000.0, now, is_success=True)
     assert controller.tuned_rate == tuned
 
 
@@ -97,7 +102,7 @@
     assert controller.retry_probability(now) == 0.0
     for _ in range(50):
         now += 100.0
-        controller.record_response(100.0, 1000.0, now, True)
+        controller.record_response(100.0, 1000.0, now, is_success=True)
     assert controller.retry_probability(now) == 1.0
 
 
@@ -105,13 +110,15 @@
     """Pohjola's quiet day: requests were refused in the first seconds."""
     controller = RetryController()
     for k in range(20):
-        assert window(controller, 4.0, 100.0 * k) == START * 4.0
+        assert concurrency_limit(controller, 4.0, 100.0 * k) == INITIAL_PER_SERVER * 4.0
     now = 2000.0
     for _ in range(30):
         now += 50.0
-        controller.record_response(600.0, 4000.0, now, True)
-    added = ADDED * 4.0
-    assert window(controller, 4.0, now) - added > 0.9 * 20 * WINDOW_SHARE * 4.0  # nu1 20 a second, aim 4 s
+        controller.record_response(600.0, 4000.0, now, is_success=True)
+    added = ADDED_PER_SERVER * 4.0
+    assert (
+        concurrency_limit(controller, 4.0, now) - added > 0.9 * 20 * DELAY_OBJECTIVE_RATIO * 4.0
+    )  # nu1 20 a second, aim 4 s
 
 
 def test_the_window_does_not_spiral_down_where_the_normal_delay_is_over_the_target() -> None:
@@ -121,8 +128,8 @@
     for _ in range(600):
         rate = outstanding / delay_s
         now += 1000.0 / rate
-        controller.record_response(1000.0 * delay_s, 1000.0, now, True)
-        outstanding = window(controller, 4.0, now)
+        controller.record_response(1000.0 * delay_s, 1000.0, now, is_success=True)
+        outstanding = concurrency_limit(controller, 4.0, now)
     assert outstanding > 2.0 * 4.0
 
 
@@ -133,7 +140,10 @@
         controller, now = RetryController(), 0.0
         for _ in range(200):
             now += 50.0
-            controller.record_response(delay_ms, 1000.0, now, True)
-        windows[delay_ms] = window(controller, 10.0, now) - controller.response_rate.per_s() * WINDOW_SHARE
-    added = ADDED * 10.0
+            controller.record_response(delay_ms, 1000.0, now, is_success=True)
+        windows[delay_ms] = (
+            concurrency_limit(controller, 10.0, now)
+            - controller.response_rate.per_s() * DELAY_OBJECTIVE_RATIO
+        )
+    added = ADDED_PER_SERVER * 10.0
     assert windows == pytest.approx({400.0: added, 800.0: added / 2.0, 1600.0: added / 4.0})
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -93,7 +93,7 @@
             module = scene.node._balancer
             caller = await connect(scene)
             caller.sendall(request("left"))
-            await until(lambda: bool(server.seen) and bool(module._waiting) and not module.in_flight)
+            await until(lambda: bool(server.seen) and bool(module._timers._calls) and not module.in_flight)
             sent = len(server.seen)
             leave(caller)
             time.sleep(BUSY_S)
@@ -107,7 +107,9 @@
 @leaving
 def test_what_waits_for_a_slot(leave: Leave, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The slot comes up in the turn in which the end is read, before it."""
-    monkeypatch.setattr(request_queue, "HOLD_SHARES", (0.9, 0.9))  # 450 ms: longer than the loop is busy
+    # 450 ms: longer than the loop is busy
+    monkeypatch.setattr(request_queue, "MAX_WAIT_FRACTION_FIRST_TIER", 0.9)
+    monkeypatch.setattr(request_queue, "MAX_WAIT_FRACTION_LATER_TIERS", 0.9)
 
     async def test() -> None:
         server = Server(HANG)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -375,7 +375,7 @@
 def test_a_request_whose_caller_has_left_before_a_retry_is_not_sent_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(retry_policy, "RETRY_WAIT_SHARE", 0.4)  # 100 ms at least, to leave in
+    monkeypatch.setattr(retry_policy, "BASE_BACKOFF_FRACTION", 0.4)  # 100 ms at least, to leave in
 
     async def test() -> None:
         server = Server(usual=answer(500))
@@ -384,11 +384,11 @@
             caller.write(request("a"))
             assert scene.node is not None
             module = scene.node._balancer
-            await until(lambda: bool(server.seen) and bool(module._waiting) and not module.in_flight)
+            await until(lambda: bool(server.seen) and bool(module._timers._calls) and not module.in_flight)
             sent = len(server.seen)
             caller.writer.close()
             await until(lambda: not module._calls)
-            await until(lambda: not module._waiting)  # the time for it has come
+            await until(lambda: not module._timers._calls)  # the time for it has come
             assert len(server.seen) == sent
 
     run(test())
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -28,7 +28,7 @@
     TimerFired,
     UpdateKind,
 )
-from workspond.policy.retry_policy import NEVER_RAN, RetryPolicy
+from workspond.policy.retry_policy import NEVER_RAN_OUTCOMES, RetryPolicy
 from workspond.policy.server import Server
 from workspond.policy.settings import RequestClass
 
@@ -198,7 +198,7 @@
         patch.setattr(Server, "deduplication_group", lambda *_: None)
         assert breaks().startswith("rule 2")
     with monkeypatch.context() as patch:
-        patch.setattr(Balancer, "_end", always)
+        patch.setattr(Balancer, "_end_unanswered", always)
         assert breaks().startswith("rule 1")
     with monkeypatch.context() as patch:
         patch.setattr(
@@ -212,7 +212,7 @@
         """Holds that 'full' proves that an attempt never ran, whatever the settings say."""
 
         def may_have_run(self, result: Outcome) -> bool:
-            return result not in NEVER_RAN
+            return result not in NEVER_RAN_OUTCOMES
 
     with monkeypatch.context() as patch:
         patch.setattr("workspond.policy.balancer.RetryPolicy", TrustsRefusals)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -17,7 +17,7 @@
 from workspond import node
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
-from workspond.policy.subscription_backoff import ASK_LONGEST_MS
+from workspond.policy.subscription_backoff import MAX_SUBSCRIPTION_BACKOFF_MS
 
 TOLD_MS = 6000.0  # after discovery had it and could be reached, whatever became of calls
 TOLD_RELOAD_MS = 4000.0  # after SIGHUP
@@ -35,7 +35,7 @@
 
 def test_the_longest_sum_of_waits_is_within_the_time_after_which_news_counts_as_told() -> None:
     """It was 8.75 s with three silent calls in a row, where lists are asked for."""
-    pushed_ms, asked_ms = node.PUSHED_RETRY_S * 1000.0, ASK_LONGEST_MS
+    pushed_ms, asked_ms = node.PUSHED_RETRY_S * 1000.0, MAX_SUBSCRIPTION_BACKOFF_MS
     assert discovery.FAILURES_BORNE >= 3
     for pause_ms in (pushed_ms, asked_ms):
         assert discovery.longest_news_ms(pause_ms) < TOLD_MS - 200.0
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -1,7 +1,9 @@
-"""Which first sends are shed or have to wait in the clients' tier.
+"""Admission control in the clients' tier: which requests are shed, and which have to wait.
 
-The share to shed is the PI loop's (the paper's equation 49). Ours: it is taken from what is worth least, and
-calls in flight are limited by Little's law. Deeper in, a refusal would waste the work done above.
+The fraction to shed comes from the PI controller (equation 49 of the paper). Additions to the paper: it is
+taken from the requests of the lowest priority first, and the attempts in flight are limited by Little's law
+(see `workspond.policy.concurrency_limit`). The tiers behind the first admit everything, as a rejection there
+would waste the work done in the tiers before.
 """
 
 from __future__ import annotations
@@ -10,86 +12,104 @@
 from collections.abc import Callable
 
 from workspond.policy.call import Call
+from workspond.policy.concurrency_limit import concurrency_limit
 from workspond.policy.fleet import Fleet
 from workspond.policy.request_statistics import ClassStatistics, TypicalDelay
 from workspond.policy.retry_controller import RetryController
 from workspond.policy.settings import Settings
 
-WINDOW_SHARE = 0.3  # of the aim: the delay that first sends may reach, by Little's law,
-ADDED = 2.0  # with so many calls a server of this copy's part added, so that copies' windows grow alike
-FEW = 3.0  # while the loop allows retries a window opens to so many calls, as a copy's few calls bunch
-START = 4.0  # calls a server, at first
-RESERVE = 0.15  # of the window is kept for the class of most value
-
-
-def window(controller: RetryController, part: float, now_ms: float) -> float:
-    """How many calls may be outstanding from a copy whose part of the fleet is so many servers."""
-    answers = controller.response_rate
-    if answers.span_s < 1.0:  # sulcast-later overload: unbounded at first, a tier choked at 2 s
-        return START * part + answers.events
-    answers.record(0.0, now_ms)
-    # i35d8eb: with nothing added it spirals down where the normal delay is over its share of the aim.
-    # Else what is added alone keeps the delay over the target: rota, two calls to boxes that serve one.
-    added = ADDED * part / max(1.0, controller.delay_over_target())
-    usual = added + answers.per_s() * WINDOW_SHARE * controller.mean_objective_s()
-    return usual + max(0.0, FEW - usual) * controller.retry_fraction()
+RESERVED_FRACTION = 0.15  # of the concurrency limit is reserved for the class of the highest priority
 
 
 class AdmissionController:
-    """Load shedding and the limit of calls in flight."""
+    """Sheds load, and applies the concurrency limit."""
 
     def __init__(
         self,
         settings: Settings,
         controller: RetryController,
-        record: ClassStatistics,
+        statistics: ClassStatistics,
         fleet: Fleet,
-        usual: TypicalDelay,
+        *,
+        typical_delay: TypicalDelay,
         rng: random.Random,
     ) -> None:
-        self._settings, self._controller, self._record = settings, controller, record
-        self._fleet, self._usual, self._rng = fleet, usual, rng
+        self._settings = settings
+        self._controller = controller
+        self._statistics = statistics
+        self._fleet = fleet
+        self._typical_delay = typical_delay
+        self._rng = rng
         self._objectives_ms = {
             request_class.name: request_class.objective_ms for request_class in settings.classes
         }
 
-    def concurrency_limit(self, part: float, now_ms: float) -> float:
-        """How many calls may be outstanding from a copy whose part of the fleet is so many servers."""
-        return window(self._controller, part, now_ms)
+    def concurrency_limit(self, servers: float, now_ms: float) -> float:
+        """Return how many attempts a replica to which `servers` servers fall may have in flight."""
+        return concurrency_limit(self._controller, servers, now_ms)
 
     def should_shed(self, call: Call, now_ms: float) -> bool:
-        """Whether the loop has this call shed: it takes its share from those of least value first."""
-        shed = 0.0 if self._settings.tier else self._controller.shed_fraction(now_ms)
-        if not shed:
+        """Draw whether a new request is shed.
+
+        The fraction to shed is taken from the requests of the lowest priority first. A class is shed in part
+        when the classes of lower priority do not make up the fraction.
+        """
+        shed_fraction = 0.0 if self._settings.tier else self._controller.shed_fraction(now_ms)
+        if not shed_fraction:
             return False
-        values = {name: self.priority(name, False) for name in self._objectives_ms}
-        own = self.priority(call.request_class.name, call.over_quota)
-        less = sum(self._record.request_fraction[name] for name, value in values.items() if value < own)
-        return self._rng.random() * self._record.request_fraction[call.request_class.name] < shed - less
+        request_fraction = self._statistics.request_fraction
+        priorities = {name: self.priority(name, over_quota=False) for name in self._objectives_ms}
+        own_priority = self._priority_of(call)
+        lower_fraction = sum(
+            request_fraction[name] for name, priority in priorities.items() if priority < own_priority
+        )
+        drawn = self._rng.random() * request_fraction[call.request_class.name]
+        return drawn < shed_fraction - lower_fraction
 
     def at_concurrency_limit(
-        self, call: Call, inflight: int, lost_calls: Callable[[float], int], now_ms: float
+        self, call: Call, in_flight: int, count_stalled_calls: Callable[[float], int], now_ms: float
     ) -> bool:
-        """Whether the clients' tier has as many calls outstanding as the delay target bears."""
-        room = self.concurrency_limit(self._fleet.slice_size, now_ms)
-        if self._settings.tier or inflight < (1.0 - RESERVE) * room:
+        """Whether the request has to wait until fewer attempts are in flight; never behind the first tier.
+
+        Args:
+            call: The request to be sent.
+            in_flight: Attempts of this replica in flight.
+            count_stalled_calls: Counts those of them that no server is working on any more.
+            now_ms: The present moment.
+        """
+        # Computed in each tier, as it advances the time of the response rate.
+        limit = self.concurrency_limit(self._fleet.slice_size, now_ms)
+        unreserved_limit = (1.0 - RESERVED_FRACTION) * limit
+        if self._settings.tier or in_flight < unreserved_limit:
             return False
-        # sulcast-porto-alegre silent+leave+brisk 12: of a window of 8 two stood on connections that had died.
-        # It lets in a few too many where a class has far longer calls than the rest of them.
-        working = inflight - lost_calls(now_ms)
-        best = max(self.priority(name, False) for name in self._objectives_ms)
-        full = working >= (1.0 - RESERVE) * room
-        return full and (working >= room or self.priority(call.request_class.name, call.over_quota) < best)
-
-    def priority(self, name: str, over_quota: bool) -> float:
-        """What an answer to a class is worth to the operators, for the time that it takes."""
-        record, settings = self._record, self._settings
-        worth = record.priority_weight[name] / record.mean_priority_weight()
-        if (
-            record.in_time_fraction[name] <= record.worst_in_time_fraction()
-        ):  # strict order of worth would starve it
-            worth += settings.worst_class_weight / record.request_fraction[name]
-        worth *= settings.over_quota_fraction if over_quota else 1.0  # a flooding tenant waits behind
-        return worth / max(
-            1.0, record.mean_delay_ms[name] or self._usual.objective_ratio * self._objectives_ms[name]
-        )
+        # Attempts on dropped connections do not load a server. They would use up a good part of a small limit
+        # until they time out. Where one class takes far longer than the others, a few of its attempts are
+        # taken for stalled and too many are admitted.
+        active = in_flight - count_stalled_calls(now_ms)
+        return active >= unreserved_limit and (active >= limit or not self._has_highest_priority(call))
+
+    def _has_highest_priority(self, call: Call) -> bool:
+        highest = max(self.priority(name, over_quota=False) for name in self._objectives_ms)
+        return self._priority_of(call) >= highest
+
+    def _priority_of(self, call: Call) -> float:
+        return self.priority(call.request_class.name, over_quota=call.over_quota)
+
+    def priority(self, class_name: str, *, over_quota: bool) -> float:
+        """Return the value of an answer to a class for each millisecond that it takes.
+
+        The value is the priority weight from the settings, relative to the mean of the recent requests.
+        """
+        statistics = self._statistics
+        value = statistics.priority_weight[class_name] / statistics.mean_priority_weight()
+        # The class that is served worst gets a bonus: a strict order of weights would starve it.
+        if statistics.in_time_fraction[class_name] <= statistics.worst_in_time_fraction():
+            value += self._settings.worst_class_weight / statistics.request_fraction[class_name]
+        # A tenant that floods the service waits behind the others.
+        value *= self._settings.over_quota_fraction if over_quota else 1.0
+        return value / max(1.0, self._expected_delay_ms(class_name))
+
+    def _expected_delay_ms(self, class_name: str) -> float:
+        """Return the measured delay of a class, or the usual one for its objective before that."""
+        measured_ms = self._statistics.mean_delay_ms[class_name]
+        return measured_ms or self._typical_delay.objective_ratio * self._objectives_ms[class_name]
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -1,25 +1,24 @@
-"""One copy's decisions: takes the node's events and says what to do.
+"""The balancer of one replica: takes the node's events and returns the actions to take.
 
-Retries are admitted with the probability that RTDC's PI loop allows (Hong, Huang and Yan, section V.B);
-first sends follow a smooth weighted rotation. docs/design.md says what is kept, changed and why. Each concept
-has a module of its own; this one ties them together. Events and actions are in `workspond.policy.interface`.
+Retries are allowed with the probability that the PI controller of RTDC gives (Hong, Huang and Yan, section
+V.B); servers are picked by smooth weighted round robin. docs/design.md says what follows the paper, what does
+not, and why. Each concept has a module of its own; this one leads a request through them:
+
+    received    `tenant_quotas` and `admission`: shed it, let it wait in `request_queue`, or send it
+    sent        `server_selection` picks a server, `send_gate` checks the rules, `attempt_sender` sends
+    ended       `outcome_recorder` measures, `retry_controller` and `retry_policy` decide on a retry
+    timer       `request_timers` finds the request that has waited for its retry, or in the queue
+
+Events are in `workspond.policy.events`, actions in `workspond.policy.actions`.
 """
 
 from __future__ import annotations
 
-import math
 import random
 
-from workspond.policy.actions import (
-    CloseIdleConnections,
-    FailRequest,
-    PolicyAction,
-    RejectRequest,
-    SendAttempt,
-    SetTimer,
-    Subscribe,
-)
+from workspond.policy.actions import FailRequest, PolicyAction, RejectRequest, SetTimer, Subscribe
 from workspond.policy.admission import AdmissionController
+from workspond.policy.attempt_sender import AttemptSender
 from workspond.policy.call import Call
 from workspond.policy.events import (
     AttemptEnded,
@@ -34,300 +33,247 @@
 )
 from workspond.policy.fleet import Fleet
 from workspond.policy.idle_timeout import IdleTimeout
+from workspond.policy.outcome_recorder import OutcomeRecorder
 from workspond.policy.outlier_ejection import OutlierEjection
 from workspond.policy.request_queue import RequestQueue
 from workspond.policy.request_statistics import PEER_SAMPLES, ClassStatistics, TypicalDelay
-from workspond.policy.retry_controller import SAMPLES, RetryController
+from workspond.policy.request_timers import SUBSCRIPTION_TOKEN, RequestTimers
+from workspond.policy.retry_controller import RetryController
 from workspond.policy.retry_policy import RetryPolicy
+from workspond.policy.send_gate import SendGate
 from workspond.policy.server import Server
 from workspond.policy.server_selection import ServerSelector
-from workspond.policy.settings import DeduplicationScope, Idempotency, Settings
+from workspond.policy.settings import Settings
 from workspond.policy.slow_start import SlowStart
 from workspond.policy.subscription_backoff import subscription_backoff_ms
-from workspond.policy.token_bucket import TokenBucket
+from workspond.policy.tenant_quotas import TenantQuotas
 
-QUOTA_MS = 1_000.0  # of its quota is what a tenant may send at once
-GROW_FROM = 1.0  # calls out a server from which a copy doubles its slices of the fleet
-SUBSCRIBE_TOKEN = 0  # of the timer after which the list is asked for again
+# Attempts in flight for each server of the subset, beyond which a replica doubles its subset.
+SUBSET_GROWTH_IN_FLIGHT = 1.0
 
 
 class Balancer:
-    """One copy's decisions: feed it events, do what it says."""
+    """Decides for one replica. It has no clock: each event comes with the present moment.
+
+    Attributes:
+        settings: The settings of the replica.
+        classes: The classes of requests, by name.
+        in_flight: Attempts in flight.
+        controller: The PI controller.
+        typical_delay: The usual delay of an attempt.
+        class_statistics: How each class of requests is served.
+        fleet: The listed servers.
+        admission: Load shedding and the concurrency limit.
+        retry_policy: What the settings allow for retries.
+    """
 
     def __init__(self, settings: Settings, salt: int) -> None:
+        """Start without servers; `salt` seeds all random draws."""
         self.settings = settings
         self.classes = {request_class.name: request_class for request_class in settings.classes}
+        self.in_flight = 0
+        self._calls: dict[str, Call] = {}  # requests without a final answer, by id
+        self._actions: list[PolicyAction] = []  # those of the event that is being handled
         self._rng = random.Random(salt)
+        self._timers = RequestTimers()
+        self._queue = RequestQueue(settings.tier)
+        self._quotas = TenantQuotas(settings)
+        # What is measured.
         self.controller = RetryController()
-        self.in_flight = 0  # attempts out
         self.typical_delay = TypicalDelay()
         self.class_statistics = ClassStatistics(settings.classes, PEER_SAMPLES)
+        idle_timeout = IdleTimeout(settings.keepalive_ms)
+        # The servers.
         self.fleet = Fleet(settings, self._rng)
-        self.admission = AdmissionController(
-            settings, self.controller, self.class_statistics, self.fleet, self.typical_delay, self._rng
-        )
-        self.retry_policy = RetryPolicy(settings, self._rng)
         self._slow_start = SlowStart(settings, self.controller)
         self._selector = ServerSelector(self.fleet, self._slow_start, self.typical_delay, self._rng)
-        self._ejection = OutlierEjection(self._rng)
-        self._queue = RequestQueue()
-        self._idle_limit = IdleTimeout(settings.keepalive_ms)
-        self._quotas: dict[str | None, tuple[float, TokenBucket]] = {  # this copy's part of each tenant's
-            tenant.name: (tenant.quota_per_s / settings.replicas / 1000.0, TokenBucket(math.inf, 0.0))
-            for tenant in settings.tenants
-            if tenant.quota_per_s
-        }
-        self._calls: dict[str, Call] = {}
-        self._waiting: dict[int, Call] = {}  # by timer token
-        self._token = SUBSCRIBE_TOKEN  # that of the last timer
-        self._actions: list[PolicyAction] = []
+        # What decides and acts on requests and their attempts.
+        self.retry_policy = RetryPolicy(settings, self._rng)
+        self.admission = AdmissionController(
+            settings,
+            self.controller,
+            self.class_statistics,
+            self.fleet,
+            typical_delay=self.typical_delay,
+            rng=self._rng,
+        )
+        self._gate = SendGate(settings, self._calls, self.retry_policy, self.fleet, self._slow_start)
+        self._sender = AttemptSender(self.retry_policy, self._selector, self.typical_delay, idle_timeout)
+        self._outcomes = OutcomeRecorder(
+            self.controller, self.typical_delay, idle_timeout, OutlierEjection(self._rng), self._selector
+        )
 
     def handle(self, event: PolicyEvent, now_ms: float) -> list[PolicyAction]:
-        """Take one event; what to do about it."""
+        """Take one event and return the actions that follow from it.
+
+        Args:
+            event: What has happened.
+            now_ms: The moment at which it did, on a clock that never goes backwards.
+        """
         self._actions = []
         match event:
             case RequestReceived():
-                self._on_request(event, now_ms)
+                self._on_request_received(event, now_ms)
             case AttemptEnded():
-                self._on_ended(event, now_ms)
+                self._on_attempt_ended(event, now_ms)
             case TimerFired():
-                self._on_timer(event, now_ms)
+                self._on_timer_fired(event, now_ms)
             case EndpointUpdate():
-                self._on_list(event, now_ms)
+                self._on_endpoint_update(event, now_ms)
             case RequestAbandoned():
                 self._calls.pop(event.request_id, None)
             case NodeStarted() if self.settings.requires_subscription:
                 self._actions.append(Subscribe())
         return self._actions
 
-    # First sends
-
-    def _on_request(self, event: RequestReceived, now_ms: float) -> None:
-        call = self._calls[event.request_id] = Call(event, self.classes[event.class_name], now_ms)
+    def _on_request_received(self, event: RequestReceived, now_ms: float) -> None:
+        call = Call(event, self.classes[event.class_name], now_ms)
+        self._calls[event.request_id] = call
         self.class_statistics.record_request(event.class_name)
         self.retry_policy.count_request(now_ms)
-        if event.tenant in self._quotas:
-            per_ms, bucket = self._quotas[event.tenant]
-            call.over_quota = not bucket.try_take(per_ms, max(1.0, QUOTA_MS * per_ms), now_ms)
+        call.over_quota = self._quotas.count_request(event.tenant, now_ms)
         if self.admission.should_shed(call, now_ms):
-            return self._end(call)
-        self._attempt(call, now_ms)
+            self._end_unanswered(call)
+        else:
+            self._attempt(call, now_ms)
+
+    def _on_attempt_ended(self, event: AttemptEnded, now_ms: float) -> None:
+        call = self._calls.get(event.request_id)
+        server = self.fleet.servers.get(event.server_id)
+        self.in_flight -= 1
+        if server is not None:
+            self._outcomes.record(server, call, event, now_ms)
+        if call is not None and event.request_finished:
+            self._finish(call, event, now_ms)
+        elif call is not None:
+            self._retry(call, event, now_ms)
+        self._release_queued(now_ms)
+
+    def _on_timer_fired(self, event: TimerFired, now_ms: float) -> None:
+        if event.token == SUBSCRIPTION_TOKEN:
+            self._actions.append(Subscribe())
+        call = self._timers.take_fired(event.token)
+        if call is None or call.id not in self._calls:
+            return
+        if call.is_queued:
+            self._end_unanswered(call)
+        else:
+            self._attempt(call, now_ms)
+
+    def _on_endpoint_update(self, event: EndpointUpdate, now_ms: float) -> None:
+        if event.kind is UpdateKind.FAILED:
+            wait_ms = subscription_backoff_ms(self.settings.poll_interval_ms, self._rng)
+            self._actions.append(SetTimer(SUBSCRIPTION_TOKEN, wait_ms))
+            return
+        self._selector.apply(self.fleet.apply(event, now_ms), now_ms)
+        self._release_queued(now_ms)
 
     def _attempt(self, call: Call, now_ms: float) -> None:
-        crowded = self.admission.at_concurrency_limit(
-            call, self.in_flight, self._selector.count_stalled_calls, now_ms
-        )
-        server = None if crowded else self._selector.pick(call, now_ms)
-        if crowded or (server is None and call.first_possible_run_at_ms is None and self.fleet.ready_count):
+        """Send the request, or let it wait in the queue or for its next attempt; end it if neither helps."""
+        if self._at_concurrency_limit(call, now_ms):
+            self._enqueue(call, now_ms)
+            return
+        server = self._selector.pick(call, now_ms)
+        if server is None and call.first_possible_run_at_ms is None and self.fleet.ready_count:
             self._enqueue(call, now_ms)
         elif server is None or not self._send(call, server, now_ms):
             self._wait_or_end(call, now_ms)
 
+    def _at_concurrency_limit(self, call: Call, now_ms: float) -> bool:
+        return self.admission.at_concurrency_limit(
+            call, self.in_flight, self._selector.count_stalled_calls, now_ms
+        )
+
     def _enqueue(self, call: Call, now_ms: float) -> None:
-        """Keep a call back while an answer within its aim is still possible."""
+        """Let the request wait while an answer within its objective is still possible."""
         slack_ms = 2.0 * self.settings.tick_ms
-        wait_ms = self._queue.queue_deadline_at_ms(call, self.settings.tier) - now_ms
+        wait_ms = self._queue.queue_deadline_at_ms(call) - now_ms
         if wait_ms <= slack_ms:
-            return self._end(call)
-        self._queue.add(call)
-        self._set_timer(call, wait_ms - slack_ms)
+            self._end_unanswered(call)
+        else:
+            self._queue.add(call)
+            self._actions.append(self._timers.set(call, wait_ms - slack_ms))
 
-    def _release(self, now_ms: float) -> None:
-        """Send queued calls as room comes up, those of most worth first."""
+    def _release_queued(self, now_ms: float) -> None:
+        """Send queued requests as far as the concurrency limit allows, the highest priority first."""
         for queue in self._queue.by_priority(self.admission.priority):
-            while queue:
-                call = queue[0]
-                if call.is_queued and call.id in self._calls:
-                    crowded = self.admission.at_concurrency_limit(
-                        call, self.in_flight, self._selector.count_stalled_calls, now_ms
-                    )
-                    server = None if crowded else self._selector.pick(call, now_ms)
-                    if server is None:
-                        break
-                    call.is_queued, call.timer_token = False, 0
-                    if not self._send(call, server, now_ms):
-                        self._wait_or_end(call, now_ms)
+            while queue and self._leaves_queue(queue[0], now_ms):
                 queue.popleft()
 
-    # Attempts
+    def _leaves_queue(self, call: Call, now_ms: float) -> bool:
+        """Send the request if it still waits and can be sent; return False if it has to wait on."""
+        if not call.is_queued or call.id not in self._calls:
+            return True
+        server = None if self._at_concurrency_limit(call, now_ms) else self._selector.pick(call, now_ms)
+        if server is None:
+            return False
+        call.is_queued = False
+        call.timer_token = 0
+        if not self._send(call, server, now_ms):
+            self._wait_or_end(call, now_ms)
+        return True
 
     def _send(self, call: Call, server: Server, now_ms: float) -> bool:
-        """The one gate that every send passes: rules 1 to 6."""
-        if not self._may_send(call, server, now_ms):
+        """Send the request to the server, if the rules allow it; each attempt passes here."""
+        if not self._gate.may_send(call, server, now_ms):
             return False
-        request_class, left_ms = call.request_class, call.deadline_at_ms - now_ms
-        if call.attempts:
-            self.retry_policy.count_retry(now_ms)
-        call.attempts += 1
-        call.attempt_in_flight, call.last_server, call.sent_at_ms = True, server, now_ms
         self.in_flight += 1
-        if self.in_flight > GROW_FROM * self.fleet.ready_count:
+        if self.in_flight > SUBSET_GROWTH_IN_FLIGHT * self.fleet.ready_count:
             self._selector.apply(self.fleet.grow(now_ms), now_ms)
-        call.connection_idle_ms = 0.0 if server.calls_in_flight else now_ms - server.last_used_at_ms
-        if self._idle_limit.is_exceeded(
-            call.connection_idle_ms
-        ):  # Rosario fresh-big: sent on a dropped one, it is lost
-            self._actions.append(CloseIdleConnections(server.id))
-            call.connection_idle_ms = 0.0
-        server.calls_in_flight[call.id] = now_ms, request_class.objective_ms
-        self._selector.update(server, now_ms)
-        measured = self.typical_delay.samples >= SAMPLES
-        timeout_ms = self.retry_policy.attempt_timeout_ms(
-            call, left_ms, self.typical_delay.objective_ratio, measured
-        )
-        send_within_ms = self.retry_policy.repeat_deadline_at_ms(call) - now_ms
-        fresh = (
-            request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        )  # on a new connection: a loss could not be made good
-        self._actions.append(SendAttempt(call.id, server.id, timeout_ms, fresh, send_within_ms))
-        return True
-
-    def _may_send(self, call: Call, server: Server, now_ms: float) -> bool:
-        """Whether the rules let the call go to the server; takes from a cold one's budget."""
-        request_class, policy = call.request_class, self.retry_policy
-        if (
-            call.id not in self._calls
-            or call.attempt_in_flight
-            or call.deadline_at_ms - now_ms <= self.settings.tick_ms
-        ):
-            return False  # rule 1
-        if call.attempts >= self.settings.max_attempts or not policy.may_be_repeated(call, now_ms):
-            return False  # rule 2
-        if (
-            call.first_possible_run_at_ms is not None
-            and server.deduplication_group(request_class.deduplication_scope) != call.deduplication_group
-        ):
-            return False  # rule 2
-        if not server.in_service or not self.fleet.is_current(server):
-            return False  # rule 3
-        if call.attempts and not policy.within_retry_budget(now_ms):
-            return False  # rule 5
-        warmth = self._slow_start.capacity_fraction(server, now_ms)
-        if warmth < 1.0:
-            if (
-                self._slow_start.refill_cold_budget(server, warmth, self.fleet.total_subset_weight, now_ms)
-                < 1.0
-            ):
-                return False  # rule 4
-            server.cold_budget.tokens -= 1.0
+        self._actions += self._sender.send(call, server, now_ms)
         return True
 
-    def _wait_or_end(self, call: Call, now_ms: float, waited_ms: float = 0.0) -> None:
-        """Wait for the next attempt, where one can still be made in time."""
-        wait_ms = self.retry_policy.next_wait_ms(call, now_ms, self.typical_delay.objective_ratio, waited_ms)
-        if wait_ms is None:
-            self._end(call)
-        else:
-            self._set_timer(call, wait_ms)
-
-    def _end(self, call: Call) -> None:
-        """The one way to end a request unserved: refused where a repeat is harmless, else failed."""
-        if self._calls.pop(call.id, None):
-            self.class_statistics.record_end(call.request_class.name, False)
-            everywhere = (
-                call.request_class.idempotency is Idempotency.KEYED
-                and call.request_class.deduplication_scope is DeduplicationScope.ALL
-            )
-            repeatable = (
-                call.first_possible_run_at_ms is None
-                or everywhere
-                or call.request_class.idempotency is Idempotency.IDEMPOTENT
-            )
-            harmless = not call.attempt_in_flight and repeatable
-            # It says that the tier bears no more now: a client back in 17 ms, as a retry is, fed the jam.
-            advice_ms = self.settings.max_retry_after_ms
-            self._actions.append(RejectRequest(call.id, advice_ms) if harmless else FailRequest(call.id))
-
-    def _set_timer(self, call: Call, delay_ms: float) -> None:
-        self._token = call.timer_token = self._token + 1
-        self._waiting[call.timer_token] = call
-        self._actions.append(SetTimer(self._token, delay_ms))
-
-    def _on_timer(self, event: TimerFired, now_ms: float) -> None:
-        if event.token == SUBSCRIBE_TOKEN:
-            self._actions.append(Subscribe())
-        call = self._waiting.pop(event.token, None)
-        if call and call.timer_token == event.token and call.id in self._calls:
-            if call.is_queued:
-                self._end(call)
-            else:
-                self._attempt(call, now_ms)
-
-    # Outcomes
-
-    def _on_ended(self, event: AttemptEnded, now_ms: float) -> None:
-        call, server = self._calls.get(event.request_id), self.fleet.servers.get(event.server_id)
-        self.in_flight -= 1
-        if server is not None:
-            self._take_outcome(server, call, event, now_ms)
-        if call is not None and event.request_finished:
-            del self._calls[event.request_id]
-            self.class_statistics.record_end(
-                call.request_class.name, now_ms - call.arrived_at_ms <= call.request_class.objective_ms
-            )
-            self.class_statistics.record_delay(call.request_class.name, event.duration_ms)
-        elif call is not None:
-            self._retry(call, event, now_ms)
-        self._release(now_ms)
-
-    def _take_outcome(self, server: Server, call: Call | None, event: AttemptEnded, now_ms: float) -> None:
-        # None: sent before the server started anew, or left the list and came back: no news of it.
-        sent = server.calls_in_flight.pop(event.request_id, None)
-        server.last_used_at_ms = now_ms
-        if call is not None and call.connection_idle_ms:
-            usual_ms = self.typical_delay.objective_ratio * call.request_class.objective_ms
-            self._idle_limit.record_outcome(
-                call.connection_idle_ms, event.outcome, event.duration_ms, usual_ms
-            )
-        if sent is None:
-            return
-        if event.load_report:
-            server.reported_queue, server.reported_at_ms = event.load_report.get("queue", 0.0), now_ms
-        self._ejection.record_outcome(server, event.outcome, self._selector.ejected_fraction(now_ms), now_ms)
-        self._measure(server, *sent, event, now_ms)
-        self._selector.update(server, now_ms)
+    def _finish(self, call: Call, event: AttemptEnded, now_ms: float) -> None:
+        """Forget a request that has been answered."""
+        del self._calls[call.id]
+        class_name = call.request_class.name
+        in_time = now_ms - call.arrived_at_ms <= call.request_class.objective_ms
+        self.class_statistics.record_end(class_name, in_time=in_time)
+        self.class_statistics.record_delay(class_name, event.duration_ms)
 
     def _retry(self, call: Call, event: AttemptEnded, now_ms: float) -> None:
-        """Try a call again whose attempt has failed, as the loop and the class allow, or end it."""
+        """Retry a request whose attempt has failed, if the controller and the class allow it, or end it."""
         call.attempt_in_flight = False
-        if (
-            call.first_possible_run_at_ms is None
-            and call.last_server
-            and self.retry_policy.may_have_run(event.outcome)
-        ):
-            call.first_possible_run_at_ms, call.deduplication_group = (
-                call.sent_at_ms,
-                call.last_server.deduplication_group(call.request_class.deduplication_scope),
-            )
+        self._note_possible_run(call, event.outcome)
         if self._rng.random() < self.controller.retry_probability(now_ms):
-            # As the paper's timer runs from the send, a time-out has been waited for already.
-            timed_out = event.outcome is Outcome.TIMEOUT
-            self._wait_or_end(call, now_ms, event.duration_ms if timed_out else 0.0)
+            # The paper counts the backoff from the send, so a timeout has waited for a part of it already.
+            waited_ms = event.duration_ms if event.outcome is Outcome.TIMEOUT else 0.0
+            self._wait_or_end(call, now_ms, waited_ms)
         else:
-            self._end(call)
+            self._end_unanswered(call)
 
-    def _measure(
-        self, server: Server, sent_at_ms: float, objective_ms: float, event: AttemptEnded, now_ms: float
-    ) -> None:
-        """What an outcome tells of the delay, also if nobody waits for the answer any more.
+    def _note_possible_run(self, call: Call, outcome: Outcome) -> None:
+        """Remember the first attempt that may have run, as repeats must go to its deduplication group."""
+        if call.first_possible_run_at_ms is not None or call.last_server is None:
+            return
+        if self.retry_policy.may_have_run(outcome):
+            scope = call.request_class.deduplication_scope
+            call.first_possible_run_at_ms = call.sent_at_ms
+            call.deduplication_group = call.last_server.deduplication_group(scope)
 
-        Callers that leave early leave what takes long: without theirs, delay and answer rate come out low.
+    def _wait_or_end(self, call: Call, now_ms: float, waited_ms: float = 0.0) -> None:
+        """Wait for the next attempt, or end the request if none can be answered in time.
+
+        Args:
+            call: The request.
+            now_ms: The present moment.
+            waited_ms: The part of the backoff that has passed already.
         """
-        if event.outcome in (Outcome.SUCCESS, Outcome.TIMEOUT):
-            served = event.outcome is Outcome.SUCCESS
-            self.typical_delay.record(event.duration_ms / objective_ms)
-            usual = self.typical_delay.objective_ratio
-            if usual and (served or sent_at_ms >= server.latest_served_sent_at_ms):
-                server.record_latency(event.duration_ms / objective_ms / usual, now_ms)
-            if served:
-                server.latest_served_sent_at_ms = max(server.latest_served_sent_at_ms, sent_at_ms)
-            self.controller.record_response(event.duration_ms, objective_ms, now_ms, served)
-        elif event.outcome is Outcome.REJECTED:  # full is as slow as a server gets
-            self.controller.record_response(objective_ms, objective_ms, now_ms, False)
+        objective_ratio = self.typical_delay.objective_ratio
+        wait_ms = self.retry_policy.next_wait_ms(call, now_ms, objective_ratio, waited_ms)
+        if wait_ms is None:
+            self._end_unanswered(call)
+        else:
+            self._actions.append(self._timers.set(call, wait_ms))
 
-    def _on_list(self, event: EndpointUpdate, now_ms: float) -> None:
-        if event.kind is UpdateKind.FAILED:
-            wait_ms = subscription_backoff_ms(self.settings.poll_interval_ms, self._rng)
-            return self._actions.append(SetTimer(SUBSCRIBE_TOKEN, wait_ms))
-        self._selector.apply(self.fleet.apply(event, now_ms), now_ms)
-        self._release(now_ms)
+    def _end_unanswered(self, call: Call) -> None:
+        """End a request without an answer: reject it if a retry by the client is harmless, else fail it."""
+        if self._calls.pop(call.id, None) is None:
+            return
+        self.class_statistics.record_end(call.request_class.name, in_time=False)
+        if self.retry_policy.is_client_retry_harmless(call):
+            # The longest advice that clients follow, as the tier cannot take more now. With the short wait of
+            # an own retry as advice, clients came back at once and kept the tier overloaded.
+            self._actions.append(RejectRequest(call.id, self.settings.max_retry_after_ms))
+        else:
+            self._actions.append(FailRequest(call.id))
--- a/workspond/policy/call.py
+++ b/workspond/policy/call.py
@@ -1,4 +1,4 @@
-"""A request that is owed an answer, as the decisions see it."""
+"""A request that has not been answered yet, as the policy sees it."""
 
 from __future__ import annotations
 
@@ -8,42 +8,63 @@
 
 
 class Call:
-    """One request, its attempts so far and what it waits for."""
+    """One request with its attempts.
+
+    Attributes:
+        id: The node's id of the request.
+        request_class: The class of the request.
+        arrived_at_ms: When the node received it.
+        deadline_at_ms: When its client stops waiting.
+        useful_until_ms: Until when an answer has any value. Where late answers have none
+            (`RequestClass.late_fraction` is 0) this is the latency objective, though the client waits on.
+        over_quota: Whether it goes beyond its tenant's quota.
+        attempts: Attempts sent so far.
+        attempt_in_flight: Whether an attempt is in flight.
+        sent_at_ms: When the last attempt was sent.
+        connection_idle_ms: How long the connection of the last attempt had been idle before.
+        last_server: The server of the last attempt.
+        first_possible_run_at_ms: When the first attempt was sent that may have run; None if none may have.
+        deduplication_group: The group of servers that drops repeats of that first attempt.
+        is_queued: Whether it waits in the `RequestQueue`.
+        timer_token: The token of the timer that it waits for; 0 if none.
+    """
 
     __slots__ = (
         "arrived_at_ms",
+        "attempt_in_flight",
         "attempts",
-        "request_class",
+        "connection_idle_ms",
         "deadline_at_ms",
+        "deduplication_group",
         "first_possible_run_at_ms",
         "id",
-        "connection_idle_ms",
+        "is_queued",
         "last_server",
-        "attempt_in_flight",
         "over_quota",
-        "is_queued",
-        "deduplication_group",
+        "request_class",
         "sent_at_ms",
         "timer_token",
         "useful_until_ms",
     )
 
     def __init__(self, event: RequestReceived, request_class: RequestClass, now_ms: float) -> None:
-        self.id, self.request_class = event.request_id, request_class
-        self.over_quota = False  # beyond its tenant's share
-        self.arrived_at_ms, self.deadline_at_ms = now_ms, now_ms + event.ttl_ms
-        # Until when an answer is worth anything: past the aim often nothing, though the caller still waits.
+        """Describe a request that was received at `now_ms`."""
+        self.id = event.request_id
+        self.request_class = request_class
+        self.arrived_at_ms = now_ms
+        self.deadline_at_ms = now_ms + event.ttl_ms
         self.useful_until_ms = (
             self.deadline_at_ms
             if request_class.late_fraction
             else min(self.deadline_at_ms, now_ms + request_class.objective_ms)
         )
+        self.over_quota = False
         self.attempts = 0
-        self.attempt_in_flight, self.sent_at_ms = False, now_ms  # whether an attempt is out, and since when,
-        self.connection_idle_ms = 0.0  # on a connection that had idled for so long
-        self.is_queued, self.timer_token = False, 0  # waits for room; the timer it waits for
+        self.attempt_in_flight = False
+        self.sent_at_ms = now_ms
+        self.connection_idle_ms = 0.0
         self.last_server: Server | None = None
-        self.first_possible_run_at_ms: float | None = (
-            None  # when the first attempt that may have run was sent,
-        )
-        self.deduplication_group: str | int | None = None  # and the group of servers that it went to
+        self.first_possible_run_at_ms: float | None = None
+        self.deduplication_group: str | int | None = None
+        self.is_queued = False
+        self.timer_token = 0
--- a/workspond/policy/moving_averages.py
+++ b/workspond/policy/moving_averages.py
@@ -1,68 +1,96 @@
-"""Moving averages and counts over time; what follows from them is decided elsewhere."""
+"""Rates, means and counts over recent time.
+
+`EventRate` and `TimeWeightedMean` are exponential moving averages: what was recorded `t` milliseconds ago
+counts with the weight `exp(-t / time_constant_ms)`. `SlidingWindowCounter` counts exactly.
+"""
 
 from __future__ import annotations
 
 import math
 from collections import deque
 
+MIN_RATE_SPAN_S = 1.0  # a rate is never derived from less than this much time
+
 
 class EventRate:
-    """Events a second, forgotten with a time constant; the clock starts with the first event."""
+    """An exponential moving average of the number of events per second.
 
-    __slots__ = ("_seen_ms", "_window_ms", "events", "span_s")
+    Time starts with the first call of `record`.
 
-    def __init__(self, window_ms: float) -> None:
-        self._window_ms, self._seen_ms = window_ms, -math.inf
-        self.events = self.span_s = 0.0
+    Attributes:
+        events: Sum of the recorded events, each weighted by its age.
+        span_s: Observed time, weighted by its age in the same way; it approaches the time constant.
+    """
+
+    __slots__ = ("_time_constant_ms", "_updated_at_ms", "events", "span_s")
+
+    def __init__(self, time_constant_ms: float) -> None:
+        """`time_constant_ms` is the age at which an event counts for 1/e."""
+        self._time_constant_ms = time_constant_ms
+        self._updated_at_ms = -math.inf
+        self.events = 0.0
+        self.span_s = 0.0
 
     def record(self, events: float, now_ms: float) -> None:
-        """Add events, or none to let its clock run."""
-        passed = max(0.0, now_ms - self._seen_ms) if self._seen_ms > -math.inf else 0.0
-        if passed or self._seen_ms == -math.inf:
-            self._seen_ms = now_ms
-            kept = math.exp(-passed / self._window_ms)
-            self.events *= kept
-            self.span_s = self.span_s * kept + (1 - kept) * self._window_ms / 1000.0
+        """Add events at `now_ms`; 0 events only advance the time."""
+        is_first = self._updated_at_ms == -math.inf
+        elapsed_ms = 0.0 if is_first else max(0.0, now_ms - self._updated_at_ms)
+        if elapsed_ms or is_first:
+            self._updated_at_ms = now_ms
+            decay = math.exp(-elapsed_ms / self._time_constant_ms)
+            self.events *= decay
+            self.span_s = self.span_s * decay + (1 - decay) * self._time_constant_ms / 1000.0
         self.events += events
 
     def per_s(self) -> float:
-        """The rate as of the last call, never from less than a second's evidence."""
-        return self.events / max(1.0, self.span_s)
+        """Return the rate as of the last `record`, in events per second."""
+        return self.events / max(MIN_RATE_SPAN_S, self.span_s)
 
 
 class TimeWeightedMean:
-    """A value's mean over time, forgotten with a time constant, as `Rate` forgets."""
+    """An exponential moving average of a value over time: each value counts for as long as it lasted.
 
-    __slots__ = ("_last", "_seen_ms", "_window_ms", "value")
+    Attributes:
+        value: The mean as of the last `record`.
+    """
 
-    def __init__(self, window_ms: float) -> None:
-        self._window_ms, self._seen_ms = window_ms, -math.inf
-        self._last = self.value = 0.0
+    __slots__ = ("_latest_value", "_time_constant_ms", "_updated_at_ms", "value")
+
+    def __init__(self, time_constant_ms: float) -> None:
+        """`time_constant_ms` is the age at which a value counts for 1/e."""
+        self._time_constant_ms = time_constant_ms
+        self._updated_at_ms = -math.inf
+        self._latest_value = 0.0
+        self.value = 0.0
 
     def record(self, value: float, now_ms: float) -> None:
-        """Take the value as it is from now on."""
-        if self._seen_ms == -math.inf:
+        """Set the value that holds from `now_ms` on; the previous one counts up to `now_ms`."""
+        if self._updated_at_ms == -math.inf:
             self.value = value
         else:
-            kept = math.exp(min(0.0, self._seen_ms - now_ms) / self._window_ms)
-            self.value = self.value * kept + self._last * (1.0 - kept)
-        self._last, self._seen_ms = value, now_ms
+            decay = math.exp(min(0.0, self._updated_at_ms - now_ms) / self._time_constant_ms)
+            self.value = self.value * decay + self._latest_value * (1.0 - decay)
+        self._latest_value = value
+        self._updated_at_ms = now_ms
 
 
 class SlidingWindowCounter:
-    """Events within the last so many milliseconds, counted exactly, both ends included."""
+    """An exact count of the events in the last `window_ms` milliseconds, both ends included."""
 
-    __slots__ = ("_span_ms", "_times")
+    __slots__ = ("_times_ms", "_window_ms")
 
-    def __init__(self, span_ms: float) -> None:
-        self._span_ms = span_ms
-        self._times: deque[float] = deque()
+    def __init__(self, window_ms: float) -> None:
+        """`window_ms` is the length of the window."""
+        self._window_ms = window_ms
+        self._times_ms: deque[float] = deque()
 
     def add(self, now_ms: float) -> None:
-        self._times.append(now_ms)
-        self.count(now_ms)  # whoever adds need not ask: what is over must go all the same
+        """Count an event at `now_ms`."""
+        self._times_ms.append(now_ms)
+        self.count(now_ms)  # frees expired entries even if nobody ever reads the count
 
     def count(self, now_ms: float) -> int:
-        while self._times and self._times[0] < now_ms - self._span_ms:
-            self._times.popleft()
-        return len(self._times)
+        """Return the number of events in the window that ends at `now_ms`."""
+        while self._times_ms and self._times_ms[0] < now_ms - self._window_ms:
+            self._times_ms.popleft()
+        return len(self._times_ms)
--- /dev/null
+++ b/workspond/policy/outcome_recorder.py
@@ -0,0 +1,89 @@
+"""What the outcome of an attempt says about its server, its connection, and the delay of the fleet."""
+
+from __future__ import annotations
+
+from workspond.policy.call import Call
+from workspond.policy.events import AttemptEnded, Outcome
+from workspond.policy.idle_timeout import IdleTimeout
+from workspond.policy.outlier_ejection import OutlierEjection
+from workspond.policy.request_statistics import TypicalDelay
+from workspond.policy.retry_controller import RetryController
+from workspond.policy.server import Server
+from workspond.policy.server_selection import ServerSelector
+
+
+class OutcomeRecorder:
+    """Passes each outcome on to what is measured."""
+
+    def __init__(
+        self,
+        controller: RetryController,
+        typical_delay: TypicalDelay,
+        idle_timeout: IdleTimeout,
+        ejection: OutlierEjection,
+        selector: ServerSelector,
+    ) -> None:
+        self._controller = controller
+        self._typical_delay = typical_delay
+        self._idle_timeout = idle_timeout
+        self._ejection = ejection
+        self._selector = selector
+
+    def record(self, server: Server, call: Call | None, event: AttemptEnded, now_ms: float) -> None:
+        """Record the outcome of an attempt.
+
+        Args:
+            server: The server that is listed under the id that the attempt was sent to.
+            call: The request; None if it has ended before the attempt did.
+            event: How the attempt ended.
+            now_ms: The present moment.
+        """
+        in_flight = server.calls_in_flight.pop(event.request_id, None)
+        server.last_used_at_ms = now_ms
+        if call is not None and call.connection_idle_ms:
+            self._record_idle_connection(call, event)
+        if in_flight is None:
+            # The attempt was sent before the server restarted, or before it left the list and returned: it
+            # says nothing about the present process.
+            return
+        sent_at_ms, objective_ms = in_flight
+        if event.load_report:
+            server.reported_queue = event.load_report.get("queue", 0.0)
+            server.reported_at_ms = now_ms
+        ejected_fraction = self._selector.ejected_fraction(now_ms)
+        self._ejection.record_outcome(server, event.outcome, ejected_fraction, now_ms)
+        self._record_delay(server, sent_at_ms, objective_ms, event, now_ms)
+        self._selector.update(server, now_ms)
+
+    def _record_idle_connection(self, call: Call, event: AttemptEnded) -> None:
+        usual_ms = self._typical_delay.objective_ratio * call.request_class.objective_ms
+        self._idle_timeout.record_outcome(call.connection_idle_ms, event.outcome, event.duration_ms, usual_ms)
+
+    def _record_delay(
+        self, server: Server, sent_at_ms: float, objective_ms: float, event: AttemptEnded, now_ms: float
+    ) -> None:
+        """Record the delay of an attempt, also if its request has been abandoned meanwhile.
+
+        Clients that disconnect early abandon the requests that take long: without these, delay and response
+        rate would come out low.
+        """
+        if event.outcome in (Outcome.SUCCESS, Outcome.TIMEOUT):
+            is_success = event.outcome is Outcome.SUCCESS
+            self._record_latency(server, sent_at_ms, event.duration_ms / objective_ms, is_success, now_ms)
+            self._controller.record_response(event.duration_ms, objective_ms, now_ms, is_success=is_success)
+        elif event.outcome is Outcome.REJECTED:
+            # A rejection comes fast, but the server is as slow as it gets: it counts as a full objective.
+            self._controller.record_response(objective_ms, objective_ms, now_ms, is_success=False)
+
+    def _record_latency(
+        self, server: Server, sent_at_ms: float, objective_ratio: float, is_success: bool, now_ms: float
+    ) -> None:
+        """Record the delay of an attempt, given over its objective, for the fleet and for its server."""
+        self._typical_delay.record(objective_ratio)
+        usual_ratio = self._typical_delay.objective_ratio
+        # A timeout of an attempt that later ones have overtaken says nothing about the server: it answers, so
+        # the connection of the attempt was lost or the request itself takes long.
+        if usual_ratio and (is_success or sent_at_ms >= server.latest_served_sent_at_ms):
+            server.record_latency(objective_ratio / usual_ratio, now_ms)
+        if is_success:
+            server.latest_served_sent_at_ms = max(server.latest_served_sent_at_ms, sent_at_ms)
--- a/workspond/policy/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -1,7 +1,33 @@
-"""The PI loop that holds the round-trip delay under its target by the rate of retries.
+"""The PI controller that holds the round-trip delay under its target.
 
-Round Trip Delay Control of Hong, Huang and Yan, section V.B: equations 40 and 41 for the gains, 49 for the
-control law. Ours: samples fade with time, and the same loop gives a share of first sends to shed.
+From "Applying Control Theoretic Approach To Mitigate SIP Overload" (Hong, Huang and Yan), section V.B, "Round
+Trip Delay Control". The symbols of the paper and their names here:
+
+    tau2    round-trip delay of an attempt; the mean over recent responses is used
+    tau0    target round-trip delay: `TARGET_OBJECTIVE_RATIO` times the mean latency objective
+    e       error, tau0 - tau2: `error_s`; positive while the delay is under the target
+    nu1     response rate: `response_rate`, in responses per second
+    nu10    the response rate that the gains were tuned for: `tuned_rate`
+    phi_m   phase margin: `PHASE_MARGIN`; the larger, the calmer and slower the controller
+    KP, KI  gains of the proportional and of the integral part
+    r       rate of retries that the controller allows: `allowed_rate`, in retries per second
+
+Equations 40 and 41 give the gains:
+
+    KP = nu1 tan(phi_m) / sqrt(1 + tan(phi_m)^2) = nu1 sin(phi_m)
+    KI = nu1 / sqrt(1 + tan(phi_m)^2)            = nu1 cos(phi_m)
+
+Equation 49 is the control law:
+
+    r(t) = KP e(t) + KI (integral of e from 0 to t)
+
+While the delay is under the target the integral grows, until all retries are allowed (r = nu1). While the
+delay is over the target it shrinks, until no retry is (r = 0). Integral and r are clamped to these limits, so
+that the integral does not wind up during a long overload. The gains are retuned when nu1 leaves 0.5 to 1.5
+times nu10.
+
+Additions to the paper: samples also lose weight with time; and the same law, with the opposite sign, gives
+the fraction of new requests to shed.
 """
 
 from __future__ import annotations
@@ -10,71 +36,125 @@
 
 from workspond.policy.moving_averages import EventRate
 
-TARGET_SHARE = 0.4  # tau0, the target round trip delay, as a share of the aim of what was answered
-SHED_MOST = 0.8  # of first sends may be shed for delay: the rest keeps the measurement going
+TARGET_OBJECTIVE_RATIO = 0.4  # tau0, as a fraction of the latency objective of the requests answered
+MAX_SHED_FRACTION = 0.8  # of the new requests; the others keep the delay measured
 PHASE_MARGIN = math.radians(45.0)  # phi_m
-RETUNE_BAND = (0.5, 1.5)  # gains are retuned when the answer rate leaves this band around its tuned value
-RATE_WINDOW_MS = 5_000.0  # time constant of the measured rates and delay
-SAMPLES, FEW_SAMPLES = 20.0, 4.0  # answers measured; fewer show their error in part, as one may be chance
+RETUNE_MIN_RATIO = 0.5  # the gains are retuned when nu1 falls below this fraction of nu10
+RETUNE_MAX_RATIO = 1.5  # or rises above this multiple of it
+RATE_WINDOW_MS = 5_000.0  # time constant of the measured rates and of the delay
+SAMPLES = 20.0  # responses over which the delay is averaged
+MIN_SAMPLES = 4.0  # with fewer samples the error counts in part only, as a single one may be chance
 
 
 class RetryController:
-    """Admits retries by a probability that holds the delay under the target."""
+    """Allows retries with a probability that holds the delay under the target.
+
+    Attributes:
+        response_rate: nu1, the rate of successful responses.
+        failure_rate: The rate of failed attempts, each of which is a candidate for a retry.
+        tuned_rate: nu10, per second; 0 before the first response.
+        integral: KI times the integral of the error, in retries per second.
+        allowed_rate: r, in retries per second.
+    """
 
     def __init__(self) -> None:
-        self._kp, self._ki = math.sin(PHASE_MARGIN), math.cos(PHASE_MARGIN)  # equations 40, 41 over nu1
-        self.response_rate, self.failure_rate = (
-            EventRate(RATE_WINDOW_MS),
-            EventRate(RATE_WINDOW_MS),
-        )  # nu1, in answers a second
-        self._excess_s = self._aim_s = self._samples = 0.0  # sums over the last samples,
-        self._last_ms = math.inf  # and when the last was taken
-        # nu10, the answer rate that the gains are tuned to; KI times the integral of the error, a rate; r
-        self.tuned_rate = self.integral = self.allowed_rate = 0.0
-        self._excess = self._shed = 0.0  # integral for first sends, by nu1; the share of them to shed
-
-    def record_response(self, delay_ms: float, objective_ms: float, now_ms: float, served: bool) -> None:
-        """Take a delay sample and set r = KP e + KI * integral of e, clamped with its integral."""
-        # Its own clock: the window reads the rate too, and the integral once ran on what time was left.
-        faded = math.exp(min(0.0, self._last_ms - now_ms) / RATE_WINDOW_MS)
-        passed_s, self._last_ms = max(0.0, min(now_ms - self._last_ms, RATE_WINDOW_MS)) / 1000.0, now_ms
-        self.response_rate.record(served, now_ms)
-        self.failure_rate.record(0.0, now_ms)  # so that its clock runs too
-        # Old samples fade with time too: a copy that sheds gets few new ones, and went on shedding for these.
-        kept = min(1.0 - 1.0 / SAMPLES, faded)
-        self._samples = self._samples * kept + 1.0
-        self._aim_s = self._aim_s * kept + objective_ms / 1000.0
-        self._excess_s = self._excess_s * kept + (TARGET_SHARE * objective_ms - delay_ms) / 1000.0
+        self._kp = math.sin(PHASE_MARGIN)  # KP / nu1, equation 40
+        self._ki = math.cos(PHASE_MARGIN)  # KI / nu1, equation 41
+        self.response_rate = EventRate(RATE_WINDOW_MS)
+        self.failure_rate = EventRate(RATE_WINDOW_MS)
+        # Decaying sums over the recent samples: of tau0 - tau2, of the objectives, and of ones.
+        self._error_sum_s = 0.0
+        self._objective_sum_s = 0.0
+        self._sample_count = 0.0
+        self._sampled_at_ms = math.inf  # when the last sample was taken
+        self.tuned_rate = 0.0
+        self.integral = 0.0
+        self.allowed_rate = 0.0
+        self._shed_integral = 0.0  # the integral part of the shed fraction
+        self._shed_fraction = 0.0
+
+    def record_response(
+        self, delay_ms: float, objective_ms: float, now_ms: float, *, is_success: bool
+    ) -> None:
+        """Take a delay sample and apply the control law.
+
+        Args:
+            delay_ms: tau2 of the attempt.
+            objective_ms: The latency objective of its request.
+            now_ms: The present moment.
+            is_success: Whether the response counts for the response rate. A timeout or a rejection is a
+                sample of the delay but no response.
+        """
+        # The time between samples is measured here and not taken from `response_rate`: the concurrency limit
+        # advances that one too, for each request, and would leave the integral only a part of the time.
+        decay = math.exp(min(0.0, self._sampled_at_ms - now_ms) / RATE_WINDOW_MS)
+        elapsed_s = max(0.0, min(now_ms - self._sampled_at_ms, RATE_WINDOW_MS)) / 1000.0
+        self._sampled_at_ms = now_ms
+        self.response_rate.record(is_success, now_ms)
+        self.failure_rate.record(0.0, now_ms)  # advances its time
+        self._add_sample(delay_ms, objective_ms, decay)
+        self._retune()
+        error_s = self._error_sum_s / max(self._sample_count, MIN_SAMPLES)
+        self._update_allowed_rate(error_s, elapsed_s)
+        self._update_shed_fraction(error_s, elapsed_s, decay)
+
+    def _add_sample(self, delay_ms: float, objective_ms: float, decay: float) -> None:
+        # Samples lose weight with time as well as with each new sample. A replica that sheds load gets few
+        # new ones, and would otherwise go on shedding because of the old ones.
+        weight = min(1.0 - 1.0 / SAMPLES, decay)
+        self._sample_count = self._sample_count * weight + 1.0
+        self._objective_sum_s = self._objective_sum_s * weight + objective_ms / 1000.0
+        self._error_sum_s = (
+            self._error_sum_s * weight + (TARGET_OBJECTIVE_RATIO * objective_ms - delay_ms) / 1000.0
+        )
+
+    def _retune(self) -> None:
+        """Tune the gains for the present response rate if it has left its band.
+
+        A replica starts with all retries allowed. A later retuning keeps the allowed fraction of retries.
+        """
         rate = self.response_rate.per_s()
-        if not RETUNE_BAND[0] * self.tuned_rate <= rate <= RETUNE_BAND[1] * self.tuned_rate:
-            # A copy starts with its retries open; later a retune keeps the share of retries it allows.
+        if not RETUNE_MIN_RATIO * self.tuned_rate <= rate <= RETUNE_MAX_RATIO * self.tuned_rate:
             self.integral = self.integral * rate / self.tuned_rate if self.tuned_rate else rate
             self.tuned_rate = rate
-        error_s = self._excess_s / max(self._samples, FEW_SAMPLES)  # tau0 - tau2
-        kp, ki = self.tuned_rate * self._kp, self.tuned_rate * self._ki
-        self.integral = min(max(self.integral + ki * error_s * passed_s, 0.0), self.tuned_rate)
+
+    def _update_allowed_rate(self, error_s: float, elapsed_s: float) -> None:
+        """Apply equation 49, with integral and result clamped to 0 to `tuned_rate`."""
+        kp = self.tuned_rate * self._kp
+        ki = self.tuned_rate * self._ki
+        self.integral = min(max(self.integral + ki * error_s * elapsed_s, 0.0), self.tuned_rate)
         self.allowed_rate = min(max(kp * error_s + self.integral, 0.0), self.tuned_rate)
-        # Equation 49: while the delay stays over the target, the same loop takes from first sends too.
-        self._excess = min(max(self._excess * faded - self._ki * error_s * passed_s, 0.0), SHED_MOST)
-        self._shed = min(max(self._excess - self._kp * error_s, 0.0), SHED_MOST)
+
+    def _update_shed_fraction(self, error_s: float, elapsed_s: float, decay: float) -> None:
+        """Apply equation 49 with the opposite sign and over nu1: a delay over the target sheds requests."""
+        shed_integral = self._shed_integral * decay - self._ki * error_s * elapsed_s
+        self._shed_integral = min(max(shed_integral, 0.0), MAX_SHED_FRACTION)
+        self._shed_fraction = min(max(self._shed_integral - self._kp * error_s, 0.0), MAX_SHED_FRACTION)
 
     def shed_fraction(self, now_ms: float) -> float:
-        """The share of first sends to shed; it fades, as a copy that sheds all sees no answers any more."""
-        return self._shed * math.exp(min(0.0, self._last_ms - now_ms) / RATE_WINDOW_MS)
+        """Return the fraction of new requests to shed.
+
+        It decays with the time since the last sample, as a replica that sheds all requests gets no samples.
+        """
+        return self._shed_fraction * math.exp(min(0.0, self._sampled_at_ms - now_ms) / RATE_WINDOW_MS)
 
     def mean_objective_s(self) -> float:
-        """The aim of what was answered lately; at least one answer must have come."""
-        return self._aim_s / self._samples
+        """Return the mean latency objective of the recent samples; there must be at least one."""
+        return self._objective_sum_s / self._sample_count
 
     def delay_over_target(self) -> float:
-        """The mean delay in targets; at least one answer must have come."""
-        return 1.0 - self._excess_s / (TARGET_SHARE * self._aim_s)
+        """Return the mean delay as a multiple of the target; there must be at least one sample."""
+        return 1.0 - self._error_sum_s / (TARGET_OBJECTIVE_RATIO * self._objective_sum_s)
 
     def retry_fraction(self) -> float:
-        """The share of the answer rate that retries may reach."""
+        """Return the allowed rate of retries as a fraction of the response rate."""
         return self.allowed_rate / (self.tuned_rate or 1.0)
 
     def retry_probability(self, now_ms: float) -> float:
-        """Count a failure; its retry's probability is r over the measured failure rate."""
+        """Count a failed attempt, and return the probability with which it may be retried.
+
+        This is the allowed rate of retries over the rate of failures, both per second. All retries are
+        allowed before the first response.
+        """
         self.failure_rate.record(1.0, now_ms)
         return min(1.0, self.allowed_rate / self.failure_rate.per_s()) if self.tuned_rate else 1.0
--- a/workspond/policy/token_bucket.py
+++ b/workspond/policy/token_bucket.py
@@ -1,25 +1,40 @@
-"""A token bucket; what its rate and size are is the caller's to decide."""
+"""A token bucket. Its rate and size are passed with each call, as they change over time."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Tokens that come in at a rate, up to a most."""
+    """Tokens that accrue at a rate, up to a limit.
 
-    __slots__ = ("_since_ms", "tokens")
+    Attributes:
+        tokens: The tokens available as of the last refill.
+    """
+
+    __slots__ = ("_refilled_at_ms", "tokens")
 
     def __init__(self, tokens: float, now_ms: float) -> None:
-        self.tokens, self._since_ms = tokens, now_ms
+        """Start with `tokens` tokens at `now_ms`."""
+        self.tokens = tokens
+        self._refilled_at_ms = now_ms
+
+    def refill(self, rate_per_ms: float, max_tokens: float, now_ms: float) -> float:
+        """Add the tokens that accrued since the last refill.
+
+        Args:
+            rate_per_ms: Tokens per millisecond.
+            max_tokens: The bucket holds no more than this.
+            now_ms: The present moment.
 
-    def refill(self, per_ms: float, most: float, now_ms: float) -> float:
-        """Add what has come in since last time; the tokens there are."""
-        self.tokens = min(most, self.tokens + per_ms * (now_ms - self._since_ms))
-        self._since_ms = now_ms
+        Returns:
+            The tokens available now.
+        """
+        self.tokens = min(max_tokens, self.tokens + rate_per_ms * (now_ms - self._refilled_at_ms))
+        self._refilled_at_ms = now_ms
         return self.tokens
 
-    def try_take(self, per_ms: float, most: float, now_ms: float) -> bool:
-        """Take a token, if there is one."""
-        if self.refill(per_ms, most, now_ms) < 1.0:
+    def try_take(self, rate_per_ms: float, max_tokens: float, now_ms: float) -> bool:
+        """Refill, then take one token; return False if less than one is available."""
+        if self.refill(rate_per_ms, max_tokens, now_ms) < 1.0:
             return False
         self.tokens -= 1.0
         return True
