--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,7 +1,7 @@
-"""The six operating rules, checked from outside on what was told to a node and what it did.
+"""Checks the operating rules from outside, on the events that a balancer gets and the actions that it takes.
 
-Written from the wire page's wording of the rules, and of nothing in the decision module: it keeps its
-own books. Rule 4 is checked for one node alone: what it sends to a cold server in any window.
+Written from the wording of the rules on the wire page and from nothing in the policy: it keeps records of its
+own. Rule 4, what a server that is warming up is sent, is checked by tests of its own.
 """
 
 from __future__ import annotations
@@ -22,121 +22,146 @@
 from workspond.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 
-class Broken(AssertionError):
+class RuleBrokenError(AssertionError):
     """A rule is broken."""
 
 
 @dataclass
-class Attempt:
-    at: float
-    server: int
-    group: str | int | None
-    result: Outcome | None = None
+class AttemptRecord:
+    sent_at_ms: float
+    server_id: int
+    deduplication_group: str | int | None
+    outcome: Outcome | None = None  # None: in flight
 
 
 @dataclass
-class Taken:
-    cls: RequestClass
-    deadline: float
-    attempts: list[Attempt] = field(default_factory=list)
-    over: bool = False
+class RequestRecord:
+    request_class: RequestClass
+    deadline_at_ms: float
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    is_finished: bool = False
+
+
+def require(condition: bool, violation: str) -> None:
+    if not condition:
+        raise RuleBrokenError(violation)
 
 
 class Checker:
-    """Told every event before the node, and every action after; raises `Broken`."""
+    """Gets every event before the balancer, and every action after it; raises `RuleBrokenError`."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.classes = {cls.name: cls for cls in settings.classes}
-        self.taken: dict[str, Taken] = {}
-        self.taken_at: list[float] = []
-        self.further_at: list[float] = []
-        self.known: dict[int, Endpoint] = {}
-        self.out_of_service: dict[int, float] = {}  # since when the node knows
-
-    def event(self, event: PolicyEvent, now: float) -> None:
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
+        self.requests: dict[str, RequestRecord] = {}
+        self.request_times_ms: list[float] = []
+        self.retry_times_ms: list[float] = []
+        self.endpoints: dict[int, Endpoint] = {}
+        self.out_of_service_since_ms: dict[int, float] = {}
+
+    def event(self, event: PolicyEvent, now_ms: float) -> None:
         if isinstance(event, RequestReceived):
-            self.taken[event.request_id] = Taken(self.classes[event.class_name], now + event.ttl_ms)
-            self.taken_at.append(now)
-        elif isinstance(event, AttemptEnded) and event.request_id in self.taken:
-            request = self.taken[event.request_id]
-            request.attempts[event.attempt_number].result = event.outcome
-            request.over = request.over or event.request_finished
-        elif isinstance(event, RequestAbandoned) and event.request_id in self.taken:
-            self.taken[event.request_id].over = True
+            request_class = self.classes[event.class_name]
+            self.requests[event.request_id] = RequestRecord(request_class, now_ms + event.ttl_ms)
+            self.request_times_ms.append(now_ms)
+        elif isinstance(event, AttemptEnded) and event.request_id in self.requests:
+            request = self.requests[event.request_id]
+            request.attempts[event.attempt_number].outcome = event.outcome
+            request.is_finished = request.is_finished or event.request_finished
+        elif isinstance(event, RequestAbandoned) and event.request_id in self.requests:
+            self.requests[event.request_id].is_finished = True
         elif isinstance(event, EndpointUpdate) and event.kind is not UpdateKind.FAILED:
-            listed = {entry.server_id: entry for entry in event.endpoints}
-            for number in self.known:
-                if event.kind is not UpdateKind.INCREMENTAL and number not in listed:
-                    self.out_of_service.setdefault(number, now)
-            for number, entry in listed.items():
-                self.known[number] = entry
-                if entry.state is EndpointState.IN_SERVICE:
-                    self.out_of_service.pop(number, None)
-                else:
-                    self.out_of_service.setdefault(number, now)
-
-    def action(self, action: PolicyAction, now: float) -> None:
+            self._update_endpoints(event, now_ms)
+
+    def _update_endpoints(self, event: EndpointUpdate, now_ms: float) -> None:
+        listed = {endpoint.server_id: endpoint for endpoint in event.endpoints}
+        for server_id in self.endpoints:
+            if event.kind is not UpdateKind.INCREMENTAL and server_id not in listed:
+                self.out_of_service_since_ms.setdefault(server_id, now_ms)
+        for server_id, endpoint in listed.items():
+            self.endpoints[server_id] = endpoint
+            if endpoint.state is EndpointState.IN_SERVICE:
+                self.out_of_service_since_ms.pop(server_id, None)
+            else:
+                self.out_of_service_since_ms.setdefault(server_id, now_ms)
+
+    def action(self, action: PolicyAction, now_ms: float) -> None:
         if isinstance(action, SendAttempt):
-            self._send(action, now)
+            self._check_send(action, now_ms)
         elif isinstance(action, FailRequest | RejectRequest):
-            request = self.taken[action.request_id]
-            self._need(not request.over, "rule 1: a second final answer")
-            late = now > request.deadline + self.settings.answer_slack_ms
-            self._need(not late, "rule 1: an answer after the deadline")
-            request.over = True
+            request = self.requests[action.request_id]
+            require(not request.is_finished, "rule 1: a second final answer")
+            is_late = now_ms > request.deadline_at_ms + self.settings.answer_slack_ms
+            require(not is_late, "rule 1: an answer after the deadline")
+            request.is_finished = True
             if isinstance(action, RejectRequest):
-                cls = request.cls
-                everywhere = (
-                    cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
-                )
-                harmless = (
-                    cls.idempotency is Idempotency.IDEMPOTENT or everywhere or not self._may_have_run(request)
-                )
-                self._need(harmless, "rule 2: a refusal of what may have run")
+                require(self._is_retry_harmless(request), "rule 2: a refusal of what may have run")
 
     def end(self) -> None:
-        """All that was taken has been answered."""
-        self._need(all(request.over for request in self.taken.values()), "rule 1: a request was lost")
-
-    def _send(self, send: SendAttempt, now: float) -> None:
-        request, server = self.taken[send.request_id], self.known[send.server_id]
-        cls = request.cls
-        self._need(not request.over, "rule 1: a send for what is over")
-        self._need(len(request.attempts) < self.settings.max_attempts, "more attempts than allowed")
-        out = [attempt for attempt in request.attempts if attempt.result is None]
-        self._need(not out or self.settings.parallel_attempts, "two attempts at once")
+        """Check that all requests have been answered."""
+        require(all(request.is_finished for request in self.requests.values()), "rule 1: a request was lost")
+
+    def _is_retry_harmless(self, request: RequestRecord) -> bool:
+        request_class = request.request_class
+        is_dropped_by_all = (
+            request_class.idempotency is Idempotency.KEYED
+            and request_class.deduplication_scope is DeduplicationScope.ALL
+        )
+        return (
+            request_class.idempotency is Idempotency.IDEMPOTENT
+            or is_dropped_by_all
+            or not self._attempts_that_may_have_run(request)
+        )
+
+    def _check_send(self, send: SendAttempt, now_ms: float) -> None:
+        request = self.requests[send.request_id]
+        attempt = self._new_attempt(request, self.endpoints[send.server_id], now_ms)
+        require(not request.is_finished, "rule 1: a send for what is over")
+        require(len(request.attempts) < self.settings.max_attempts, "more attempts than allowed")
+        in_flight = [attempt for attempt in request.attempts if attempt.outcome is None]
+        require(not in_flight or self.settings.parallel_attempts, "two attempts at once")
+        self._check_repeat(request, attempt)
+        since_ms = self.out_of_service_since_ms.get(send.server_id, now_ms)
+        require(now_ms - since_ms <= self.settings.drain_grace_ms, "rule 3: sent to a server that drains")
+        if request.attempts and self.settings.retry_budget_ratio is not None:
+            self._check_retry_budget(self.settings.retry_budget_ratio, now_ms)
+        request.attempts.append(attempt)
+
+    def _new_attempt(self, request: RequestRecord, endpoint: Endpoint, now_ms: float) -> AttemptRecord:
         group = {
             DeduplicationScope.ALL: None,
-            DeduplicationScope.ZONE: server.zone,
-            DeduplicationScope.CELL: server.cell,
-        }[cls.deduplication_scope]
-        ran = self._may_have_run(request)
-        if ran:
-            self._need(
-                cls.idempotency is not Idempotency.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
-            )
-        if ran and cls.idempotency is Idempotency.KEYED:
-            self._need(all(attempt.group == group for attempt in ran), "rule 2: another group")
-            self._need(now - ran[0].at <= cls.deduplication_window_ms, "rule 2: after the window")
-        since = self.out_of_service.get(send.server_id, now)
-        self._need(now - since <= self.settings.drain_grace_ms, "rule 3: sent to a server that drains")
-        if request.attempts and self.settings.retry_budget_ratio is not None:
-            span = self.settings.retry_budget_window_ms
-            self.further_at.append(now)
-            further = sum(at >= now - span for at in self.further_at)
-            taken = sum(at > now - span for at in self.taken_at)
-            allowed = self.settings.retry_budget_floor + self.settings.retry_budget_ratio * taken
-            self._need(further <= allowed, "rule 5: beyond the budget of attempts")
-        request.attempts.append(Attempt(now, send.server_id, group))
-
-    def _may_have_run(self, request: Taken) -> list[Attempt]:
-        proofs = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
+            DeduplicationScope.ZONE: endpoint.zone,
+            DeduplicationScope.CELL: endpoint.cell,
+        }[request.request_class.deduplication_scope]
+        return AttemptRecord(now_ms, endpoint.server_id, group)
+
+    def _check_repeat(self, request: RequestRecord, attempt: AttemptRecord) -> None:
+        """Check an attempt against the earlier ones that may have run."""
+        earlier = self._attempts_that_may_have_run(request)
+        if not earlier:
+            return
+        request_class = request.request_class
+        require(
+            request_class.idempotency is not Idempotency.NON_IDEMPOTENT,
+            "rule 2: an unsafe request sent again",
+        )
+        if request_class.idempotency is Idempotency.KEYED:
+            group = attempt.deduplication_group
+            require(all(other.deduplication_group == group for other in earlier), "rule 2: another group")
+            elapsed_ms = attempt.sent_at_ms - earlier[0].sent_at_ms
+            require(elapsed_ms <= request_class.deduplication_window_ms, "rule 2: after the window")
+
+    def _check_retry_budget(self, ratio: float, now_ms: float) -> None:
+        """Count a retry, and check that the retries of the last window are within the budget."""
+        window_ms = self.settings.retry_budget_window_ms
+        self.retry_times_ms.append(now_ms)
+        retries = sum(at_ms >= now_ms - window_ms for at_ms in self.retry_times_ms)
+        requests = sum(at_ms > now_ms - window_ms for at_ms in self.request_times_ms)
+        allowed = self.settings.retry_budget_floor + ratio * requests
+        require(retries <= allowed, "rule 5: beyond the budget of attempts")
+
+    def _attempts_that_may_have_run(self, request: RequestRecord) -> list[AttemptRecord]:
+        never_ran = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
         if not self.settings.rejected_may_have_run:
-            proofs.add(Outcome.REJECTED)  # rule 6
-        return [attempt for attempt in request.attempts if attempt.result not in proofs]
-
-    @staticmethod
-    def _need(kept: bool, rule: str) -> None:
-        if not kept:
-            raise Broken(rule)
+            never_ran.add(Outcome.REJECTED)  # rule 6
+        return [attempt for attempt in request.attempts if attempt.outcome not in never_ran]
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -23,7 +23,7 @@
 
 
 def refusal(
-    of: SendGuard, attempts: AttemptHistory, cls: str = "safe", **changes: float
+    of: SendGuard, attempts: AttemptHistory, cls: str = "idempotent", **changes: float
 ) -> SendRefusal | None:
     latest_ms = changes.get("latest_ms", math.inf)
     return of.check("a", cls, attempts, int(changes.get("server", SERVER)), ADDRESS, latest_ms)
@@ -41,16 +41,17 @@
     assert refusal(of, AttemptHistory()) is None
     assert refusal(of, AttemptHistory(), server=8) is SendRefusal.NOT_IN_SERVICE
     assert refusal(of, AttemptHistory(), latest_ms=now_ms() - 1.0) is SendRefusal.WINDOW_OVER
-    assert of.check("a", "safe", AttemptHistory(), SERVER, ("127.0.0.1", 1), math.inf) is SendRefusal.MOVED
+    moved = ("127.0.0.1", 1)
+    assert of.check("a", "idempotent", AttemptHistory(), SERVER, moved, math.inf) is SendRefusal.MOVED
     assert not of.broken
 
 
 @pytest.mark.parametrize("result", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SUCCESS])
 def test_an_unsafe_request_that_may_have_run_is_not_written_again(result: Outcome) -> None:
     of = guard()
-    assert refusal(of, after(result), "unsafe") is SendRefusal.UNSAFE_REPEAT
-    assert refusal(of, after(result), "safe") is None
-    assert refusal(of, after(Outcome.REJECTED), "unsafe") is None
+    assert refusal(of, after(result), "non_idempotent") is SendRefusal.UNSAFE_REPEAT
+    assert refusal(of, after(result), "idempotent") is None
+    assert refusal(of, after(Outcome.REJECTED), "non_idempotent") is None
     assert of.broken == {SendRefusal.UNSAFE_REPEAT: 1}
 
 
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -14,9 +14,9 @@
 
 from bench.decisions import Case, Program, Run, State
 from tests.coldfleet import Day, Fleet
-from tests.helpers import Node, entries
+from tests.helpers import Replica, endpoints
 from tests.plain_selection import CheckedSelector, parts
-from tests.test_property import play
+from tests.test_property import run_random_events
 from workspond.policy import balancer
 from workspond.policy.deduplication_groups import GroupIndex
 from workspond.policy.endpoint import Endpoint
@@ -44,7 +44,7 @@
     @hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.integers(1, 9))
     def histories(seed: int, attempts: int, tier: int, nodes: int) -> None:
-        play(seed, max_attempts=attempts, tier=tier, replicas=nodes, replica_index=seed % nodes)
+        run_random_events(seed, max_attempts=attempts, tier=tier, replicas=nodes, replica_index=seed % nodes)
 
     histories()
     assert checked.checked > 5000
@@ -89,7 +89,7 @@
     monkeypatch.setattr(owner, name, broken)
     with pytest.raises(AssertionError):
         for seed in range(30):
-            play(seed, replicas=7, replica_index=2)
+            run_random_events(seed, replicas=7, replica_index=2)
 
 
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -161,13 +161,13 @@
 
 
 def test_a_list_with_nothing_new_looks_at_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    node = Node(servers=200, replicas=8, replica_index=3)
+    node = Replica(servers=200, replicas=8, replica_index=3)
     monkeypatch.setattr(Server, "speed_factor", lambda *_: pytest.fail("a server was looked at"))
-    node.list_all(entries(range(200)))
+    node.replace_endpoints(endpoints(range(200)))
 
 
 def test_a_change_looks_at_the_server_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
-    node = Node(servers=200)
+    node = Replica(servers=200)
     looked: list[int] = []
 
     def speed(server: Server, *_: float) -> float:
@@ -175,7 +175,7 @@
         return 1.0
 
     monkeypatch.setattr(Server, "speed_factor", speed)
-    node.change(Endpoint(7, "z", "k", 1, weight=2.0))
+    node.update_endpoints(Endpoint(7, "z", "k", 1, weight=2.0))
     assert set(looked) == {7}
 
 
@@ -208,7 +208,7 @@
 
 def test_what_the_selection_holds_does_not_grow_with_the_calls() -> None:
     """Each call opened a level of load of its own, and left its number behind."""
-    node = Node(servers=20, tier=1)
+    node = Replica(servers=20, tier=1)
     sizes = []
     for _ in range(3):
         node.serve(400)
@@ -225,28 +225,28 @@
 def test_servers_that_may_be_sent_nothing_at_first_stop_no_pick(changes: dict[str, Any]) -> None:
     """A rate of nothing was divided by; a weight of nothing was looked at again at once, for ever."""
     for seed in range(10):
-        play(seed, **changes)
-    node = Node(servers=0, tier=1, **changes)
-    node.list_all([Endpoint(n, started_at_ms=node.now) for n in range(3)])
+        run_random_events(seed, **changes)
+    node = Replica(servers=0, tier=1, **changes)
+    node.replace_endpoints([Endpoint(n, started_at_ms=node.now_ms) for n in range(3)])
     for n in range(50):
-        node.ask(f"{n}")
-        node.now += 200.0
+        node.receive(f"{n}")
+        node.now_ms += 200.0
 
 
 def test_a_server_of_hardly_any_weight_stops_no_pick() -> None:
-    node = Node(servers=0)
-    node.list_all([Endpoint(1, weight=5e-324), Endpoint(2, weight=1.0)])
+    node = Replica(servers=0)
+    node.replace_endpoints([Endpoint(1, weight=5e-324), Endpoint(2, weight=1.0)])
     assert set(node.serve(20)) <= {1, 2}
 
 
 def test_a_cold_server_is_used_soon_after_its_peers_answer_more() -> None:
     """Its next look lay most of a wait ahead that had been worked out while hardly any answers came."""
-    node = Node(servers=2, ramp_time_ms=60_000.0, start_capacity=0.2, overload_factor=2.5, tier=1)
+    node = Replica(servers=2, ramp_time_ms=60_000.0, start_capacity=0.2, overload_factor=2.5, tier=1)
     node.serve(10, gap_ms=2_000.0)
-    node.change(Endpoint(9, "z", "k", 1, started_at_ms=node.now))
+    node.update_endpoints(Endpoint(9, "z", "k", 1, started_at_ms=node.now_ms))
     cold = node.balancer.fleet.servers[9]
     cold.cold_budget.tokens = 0.0
-    node.balancer._selector.update(cold, node.now)
-    began = node.now
+    node.balancer._selector.update(cold, node.now_ms)
+    began = node.now_ms
     while 9 not in node.serve(1, gap_ms=0.0, delay_ms=10.0):
-        assert node.now - began < 1_600.0
+        assert node.now_ms - began < 1_600.0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot be meant are refused by name."""
+"""Impossible settings are rejected, and the error names them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.helpers import SAFE, Node, ends, entries, settings
+from tests.helpers import IDEMPOTENT, Replica, answers, endpoints, settings
 from workspond.policy.actions import SendAttempt
 from workspond.policy.endpoint import Endpoint
 from workspond.policy.events import Outcome, TimerFired
@@ -17,7 +17,7 @@
     ("changes", "name"),
     [
         ({"classes": []}, "classes"),
-        ({"classes": [SAFE, SAFE]}, "classes"),
+        ({"classes": [IDEMPOTENT, IDEMPOTENT]}, "classes"),
         ({"classes": [RequestClass("a", 0.0, 100.0)]}, "objective_ms"),
         ({"classes": [RequestClass("a", 10.0, 100.0, late_fraction=1.5)]}, "late_fraction"),
         ({"tick_ms": -1.0}, "tick_ms"),
@@ -34,14 +34,14 @@
 
 
 def test_an_empty_fleet_one_server_zero_weights_and_a_still_clock() -> None:
-    empty = Node(servers=0)
-    assert not [a for a in empty.ask("a") if isinstance(a, SendAttempt)]
-    for servers in ([Endpoint(1)], entries(range(3), weight=0.0)):
-        node = Node(servers=0)
-        node.list_all(servers)
+    empty = Replica(servers=0)
+    assert not [a for a in empty.receive("a") if isinstance(a, SendAttempt)]
+    for servers in ([Endpoint(1)], endpoints(range(3), weight=0.0)):
+        replica = Replica(servers=0)
+        replica.replace_endpoints(servers)
         for n in range(30):
-            node.ask(f"{n}")
-            if f"{n}" in node.sent:
-                node.end(f"{n}", [Outcome.SUCCESS, Outcome.ERROR, Outcome.TIMEOUT][n % 3], 0.0)
-        assert node.sent or not any(s.weight for s in servers)
-        assert not ends(node.do(TimerFired(0)))
+            replica.receive(f"{n}")
+            if f"{n}" in replica.sent_to:
+                replica.end_attempt(f"{n}", [Outcome.SUCCESS, Outcome.ERROR, Outcome.TIMEOUT][n % 3], 0.0)
+        assert replica.sent_to or not any(s.weight for s in servers)
+        assert not answers(replica.handle(TimerFired(0)))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter as the bench runs it: a process, lines in, lines out."""
+"""The simulator's adapter as a process: one line in and one line out for each batch."""
 
 from __future__ import annotations
 
@@ -91,12 +91,12 @@
     ]
 
 
-def job(node: str, id: str, cls: str = "read", owner: str | None = "a") -> dict[str, Any]:
+def job(node: str, request_id: str, class_name: str = "read", owner: str | None = "a") -> dict[str, Any]:
     return {
         "kind": "JobIn",
         "node": node,
-        "request_id": id,
-        "type": cls,
+        "request_id": request_id,
+        "type": class_name,
         "ttl_ms": 2500.0,
         "owner": owner,
         "again_by_client": False,
@@ -106,16 +106,16 @@
     }
 
 
-def ended(node: str, action: dict[str, Any], code: int, number: int = 0) -> dict[str, Any]:
+def completed(node: str, action: dict[str, Any], disposition: int, send_no: int = 0) -> dict[str, Any]:
     return {
         "kind": "Completed",
         "node": node,
         "request_id": action["request_id"],
-        "settled": code == 100,
-        "disposition": code,
+        "settled": disposition == 100,
+        "disposition": disposition,
         "duration_ms": 40.0,
         "server": action["server"],
-        "send_no": number,
+        "send_no": send_no,
         "report": None,
     }
 
@@ -138,17 +138,17 @@
     return {"ts_ms": 1000.0 * number if now is None else now, "round": number, "items": list(items)}
 
 
-def day(nodes: list[str], rename: dict[str, str] | None = None) -> list[Any]:
-    """A fixed script; outcomes name servers, whether or not they were picked."""
+def script(nodes: list[str], rename: dict[str, str] | None = None) -> list[Any]:
+    """Fixed batches; outcomes name servers, whether or not they were picked."""
     classes = ["read", "pay", "save"]
     lines = [batch(1, *(item for n, node in enumerate(nodes) for item in launch(node, 7 + n)))]
     for step in range(2, 80):
         items = []
         for node in nodes:
             items.append(job(node, f"{node}-{step}", classes[step % 3]))
-            old = {"request_id": f"{node}-{step - 1}", "server": step % 5}
+            previous = {"request_id": f"{node}-{step - 1}", "server": step % 5}
             if step > 2:
-                items.append(ended(node, old, [100, 301, 302, 303, 304][step % 5]))
+                items.append(completed(node, previous, [100, 301, 302, 303, 304][step % 5]))
             items.append({"kind": "Fired", "node": node, "nonce": step // 2})
         lines.append(batch(step, *items, now=1000.0 + 40.0 * step))
     if rename is None:
@@ -180,15 +180,15 @@
 
 
 def test_hash_seeds_and_processes_change_nothing() -> None:
-    both = replies(run(day(["node-0", "node-1"])))
-    assert both == replies(run(day(["node-0", "node-1"]), hash_seed="4242"))
+    both = replies(run(script(["node-0", "node-1"])))
+    assert both == replies(run(script(["node-0", "node-1"]), hash_seed="4242"))
     for n, node in enumerate(["node-0", "node-1"]):
         lines = (
-            day([node])
+            script([node])
             if n == 0
             else [
                 {**line, "items": [i for i in line["items"] if i.get("node", node) == node]}
-                for line in day(["node-0", "node-1"])
+                for line in script(["node-0", "node-1"])
             ]
         )
         alone = replies(run(lines))
@@ -207,7 +207,7 @@
         "front": "x",
         "back": "y",
     }
-    assert replies(run(day(["node-0"]))) == replies(run(day(["node-0"], names)))
+    assert replies(run(script(["node-0"]))) == replies(run(script(["node-0"], names)))
 
 
 def test_reports_may_miss_values_or_be_negative_and_an_owner_may_be_0() -> None:
@@ -215,7 +215,7 @@
     lines = [batch(1, *launch("node-0"))]
     for n, report in enumerate(reports, 2):
         request = {**job("node-0", f"q{n}"), "owner": 0}
-        outcome = {**ended("node-0", {"request_id": f"q{n}", "server": 1}, 100), "report": report}
+        outcome = {**completed("node-0", {"request_id": f"q{n}", "server": 1}, 100), "report": report}
         lines.append(batch(n, request, outcome))
     assert len(replies(run(lines))) == len(lines)
 
@@ -225,7 +225,8 @@
     assert (result.returncode, result.stdout, result.stderr) == (0, "", "")
 
 
-def broken_env(path: list[Any], value: Any = None) -> dict[str, Any]:
+def changed_settings(path: list[Any], value: Any = None) -> dict[str, Any]:
+    """The settings with one value replaced, or removed if none is given."""
     env = copy.deepcopy(ENV)
     part = env
     for key in path[:-1]:
@@ -250,20 +251,37 @@
         (batch(2, {**job("node-0", "q"), "ttl_ms": "soon"}), ["ttl_ms", "number"]),
         (batch(2, {**job("node-0", "q"), "ttl_ms": True}), ["ttl_ms", "number"]),
         (batch(2, job("node-0", "q", "no-such-class")), ["type", "no-such-class"]),
-        (batch(2, ended("node-0", {"request_id": "q", "server": 1}, 999)), ["disposition", "999"]),
+        (batch(2, completed("node-0", {"request_id": "q", "server": 1}, 999)), ["disposition", "999"]),
         (batch(2, {"kind": "Fired", "node": "node-0"}), ["nonce", "missing"]),
         (batch(2, {"kind": "View", "node": "node-0", "form": "FULL", "stamp": 2, "bank": 5}), ["bank", "5"]),
-        (batch(2, *launch("node-1", env=broken_env(["rules", "ramp_time_ms"]))), ["ramp_time_ms", "missing"]),
-        (batch(2, *launch("node-1", env=broken_env(["classes", 0, "semantics"], "x"))), ["semantics", "'x'"]),
-        (batch(2, *launch("node-1", env=broken_env(["siblings"], "two"))), ["siblings", "whole number"]),
-        (batch(2, *launch("node-1", env=broken_env(["classes"], []))), ["items[1]", "classes"]),
-        (batch(2, *launch("node-1", env=broken_env(["rules", "start_capacity"], 1.5))), ["start_capacity"]),
-        (batch(2, *launch("node-1", env=broken_env(["rules", "ramp_time_ms"], -1.0))), ["ramp_time_ms"]),
+        (
+            batch(2, *launch("node-1", env=changed_settings(["rules", "ramp_time_ms"]))),
+            ["ramp_time_ms", "missing"],
+        ),
+        (
+            batch(2, *launch("node-1", env=changed_settings(["classes", 0, "semantics"], "x"))),
+            ["semantics", "'x'"],
+        ),
+        (
+            batch(2, *launch("node-1", env=changed_settings(["siblings"], "two"))),
+            ["siblings", "whole number"],
+        ),
+        (batch(2, *launch("node-1", env=changed_settings(["classes"], []))), ["items[1]", "classes"]),
+        (
+            batch(2, *launch("node-1", env=changed_settings(["rules", "start_capacity"], 1.5))),
+            ["start_capacity"],
+        ),
+        (
+            batch(2, *launch("node-1", env=changed_settings(["rules", "ramp_time_ms"], -1.0))),
+            ["ramp_time_ms"],
+        ),
         ('{"ts_ms": NaN, "round": 2, "items": []}', ["ts_ms", "finite"]),
         (batch(2, {**job("node-0", "q"), "ttl_ms": float("inf")}), ["ttl_ms", "finite"]),
         ("[" * 100_000, ["line 2", "JSON"]),
         (
-            batch(2, {**ended("node-0", {"request_id": "q", "server": 1}, 100), "report": {"queue": "x"}}),
+            batch(
+                2, {**completed("node-0", {"request_id": "q", "server": 1}, 100), "report": {"queue": "x"}}
+            ),
             ["queue", "number"],
         ),
     ],
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -44,10 +44,6 @@
             request_class.name: request_class.objective_ms for request_class in settings.classes
         }
 
-    def concurrency_limit(self, servers: float, now_ms: float) -> float:
-        """Return how many attempts a replica to which `servers` servers fall may have in flight."""
-        return concurrency_limit(self._controller, servers, now_ms)
-
     def should_shed(self, call: Call, now_ms: float) -> bool:
         """Draw whether a new request is shed.
 
@@ -78,7 +74,7 @@
             now_ms: The present moment.
         """
         # Computed in each tier, as it advances the time of the response rate.
-        limit = self.concurrency_limit(self._fleet.slice_size, now_ms)
+        limit = concurrency_limit(self._controller, self._fleet.slice_size, now_ms)
         unreserved_limit = (1.0 - RESERVED_FRACTION) * limit
         if self._settings.tier or in_flight < unreserved_limit:
             return False
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -131,7 +131,8 @@
         self._calls[event.request_id] = call
         self.class_statistics.record_request(event.class_name)
         self.retry_policy.count_request(now_ms)
-        call.over_quota = self._quotas.count_request(event.tenant, now_ms)
+        if event.tenant is not None:
+            call.over_quota = self._quotas.count_request(event.tenant, now_ms)
         if self.admission.should_shed(call, now_ms):
             self._end_unanswered(call)
         else:
--- a/workspond/policy/outcome_recorder.py
+++ b/workspond/policy/outcome_recorder.py
@@ -69,21 +69,16 @@
         """
         if event.outcome in (Outcome.SUCCESS, Outcome.TIMEOUT):
             is_success = event.outcome is Outcome.SUCCESS
-            self._record_latency(server, sent_at_ms, event.duration_ms / objective_ms, is_success, now_ms)
+            objective_ratio = event.duration_ms / objective_ms
+            self._typical_delay.record(objective_ratio)
+            usual_ratio = self._typical_delay.objective_ratio
+            # A timeout of an attempt that later ones have overtaken says nothing about the server: it
+            # answers, so the connection of the attempt was lost or the request itself takes long.
+            if usual_ratio and (is_success or sent_at_ms >= server.latest_served_sent_at_ms):
+                server.record_latency(objective_ratio / usual_ratio, now_ms)
+            if is_success:
+                server.latest_served_sent_at_ms = max(server.latest_served_sent_at_ms, sent_at_ms)
             self._controller.record_response(event.duration_ms, objective_ms, now_ms, is_success=is_success)
         elif event.outcome is Outcome.REJECTED:
             # A rejection comes fast, but the server is as slow as it gets: it counts as a full objective.
             self._controller.record_response(objective_ms, objective_ms, now_ms, is_success=False)
-
-    def _record_latency(
-        self, server: Server, sent_at_ms: float, objective_ratio: float, is_success: bool, now_ms: float
-    ) -> None:
-        """Record the delay of an attempt, given over its objective, for the fleet and for its server."""
-        self._typical_delay.record(objective_ratio)
-        usual_ratio = self._typical_delay.objective_ratio
-        # A timeout of an attempt that later ones have overtaken says nothing about the server: it answers, so
-        # the connection of the attempt was lost or the request itself takes long.
-        if usual_ratio and (is_success or sent_at_ms >= server.latest_served_sent_at_ms):
-            server.record_latency(objective_ratio / usual_ratio, now_ms)
-        if is_success:
-            server.latest_served_sent_at_ms = max(server.latest_served_sent_at_ms, sent_at_ms)
--- a/workspond/policy/request_queue.py
+++ b/workspond/policy/request_queue.py
@@ -44,6 +44,8 @@
 
     def by_priority(self, priority: Priority) -> Iterator[deque[Call]]:
         """Yield the queues that are not empty, that of the highest priority first."""
+        if not self._queues:
+            return
         priorities = {
             (class_name, over_quota): priority(class_name, over_quota=over_quota)
             for (class_name, over_quota), queue in self._queues.items()
--- a/workspond/policy/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -95,8 +95,7 @@
         self._add_sample(delay_ms, objective_ms, decay)
         self._retune()
         error_s = self._error_sum_s / max(self._sample_count, MIN_SAMPLES)
-        self._update_allowed_rate(error_s, elapsed_s)
-        self._update_shed_fraction(error_s, elapsed_s, decay)
+        self._apply_control_law(error_s, elapsed_s, decay)
 
     def _add_sample(self, delay_ms: float, objective_ms: float, decay: float) -> None:
         # Samples lose weight with time as well as with each new sample. A replica that sheds load gets few
@@ -118,15 +117,13 @@
             self.integral = self.integral * rate / self.tuned_rate if self.tuned_rate else rate
             self.tuned_rate = rate
 
-    def _update_allowed_rate(self, error_s: float, elapsed_s: float) -> None:
-        """Apply equation 49, with integral and result clamped to 0 to `tuned_rate`."""
+    def _apply_control_law(self, error_s: float, elapsed_s: float, decay: float) -> None:
+        """Apply equation 49, with integral and result clamped, to retries and to new requests."""
         kp = self.tuned_rate * self._kp
         ki = self.tuned_rate * self._ki
         self.integral = min(max(self.integral + ki * error_s * elapsed_s, 0.0), self.tuned_rate)
         self.allowed_rate = min(max(kp * error_s + self.integral, 0.0), self.tuned_rate)
-
-    def _update_shed_fraction(self, error_s: float, elapsed_s: float, decay: float) -> None:
-        """Apply equation 49 with the opposite sign and over nu1: a delay over the target sheds requests."""
+        # With the opposite sign and over nu1: a delay over the target sheds new requests.
         shed_integral = self._shed_integral * decay - self._ki * error_s * elapsed_s
         self._shed_integral = min(max(shed_integral, 0.0), MAX_SHED_FRACTION)
         self._shed_fraction = min(max(self._shed_integral - self._kp * error_s, 0.0), MAX_SHED_FRACTION)
--- a/workspond/policy/retry_policy.py
+++ b/workspond/policy/retry_policy.py
@@ -43,14 +43,19 @@
         self._retries = SlidingWindowCounter(settings.retry_budget_window_ms + settings.tick_ms)
         rejected = {Outcome.REJECTED} if settings.rejected_may_have_run else set()
         self._never_ran_outcomes = NEVER_RAN_OUTCOMES - rejected
+        # The objective is that of the whole chain of tiers, so each tier has a part of it. Otherwise a later
+        # tier would cut its attempts while its servers go on working for them.
+        self._second_answer_objective_ratio = SECOND_ANSWER_OBJECTIVE_RATIO / (1 + settings.tier)
 
     def count_request(self, now_ms: float) -> None:
-        """Count a new request for the retry budget."""
-        self._requests.add(now_ms)
+        """Count a new request for the retry budget, if there is one."""
+        if self._settings.retry_budget_ratio is not None:
+            self._requests.add(now_ms)
 
     def count_retry(self, now_ms: float) -> None:
-        """Count an attempt beyond a request's first for the retry budget."""
-        self._retries.add(now_ms)
+        """Count an attempt beyond a request's first for the retry budget, if there is one."""
+        if self._settings.retry_budget_ratio is not None:
+            self._retries.add(now_ms)
 
     def within_retry_budget(self, now_ms: float) -> bool:
         """Whether one more retry now stays within the retry budget of the settings, if there is one."""
@@ -136,21 +141,14 @@
         longest_ms = remaining_ms if is_last else TIMEOUT_FRACTION * remaining_ms
         if not is_delay_known:
             return min(remaining_ms, longest_ms)
-        is_early = call.attempts == 1 and is_repeatable and self._can_second_be_in_time(objective_ratio)
+        # Attempts to servers that are lost must not wait for the whole deadline, as they occupy the tier
+        # above meanwhile. So a first attempt times out early, but only if a second one can still be answered
+        # in time: in a slow tier, attempts would be cut for others that meet the same delay.
+        second_answer_ratio = (FIRST_TIMEOUT_DELAYS + 1.0) * objective_ratio
+        is_second_in_time = second_answer_ratio <= self._second_answer_objective_ratio
+        is_early = call.attempts == 1 and is_repeatable and is_second_in_time
         delays = FIRST_TIMEOUT_DELAYS if is_early else MAX_TIMEOUT_DELAYS
         # The retry waits its backoff from the send of this attempt in any case. To give the attempt up sooner
         # than that loses it for nothing.
         timeout_ms = max(delays * objective_ratio * call.request_class.objective_ms, self._backoff_ms(call))
         return min(timeout_ms, longest_ms)
-
-    def _can_second_be_in_time(self, objective_ratio: float) -> bool:
-        """Whether a second attempt can be answered in time after a first one has timed out early.
-
-        Attempts to servers that are lost must not wait for the whole deadline, as they occupy the tier above
-        meanwhile. So a first attempt times out early. This only helps if a second attempt can still be
-        answered in time: in a slow tier, attempts would be cut for others that meet the same delay. The
-        objective is that of the whole chain of tiers, so each tier has a part of it; otherwise a later tier
-        would cut its attempts while its servers go on working for them.
-        """
-        tier_objective_ratio = SECOND_ANSWER_OBJECTIVE_RATIO / (1 + self._settings.tier)
-        return (FIRST_TIMEOUT_DELAYS + 1.0) * objective_ratio <= tier_objective_ratio
--- a/workspond/policy/tenant_quotas.py
+++ b/workspond/policy/tenant_quotas.py
@@ -27,7 +27,7 @@
     """Counts requests against the quotas of their tenants, divided evenly among all replicas."""
 
     def __init__(self, settings: Settings) -> None:
-        self._quotas: dict[str | None, Quota] = {}
+        self._quotas: dict[str, Quota] = {}
         for tenant in settings.tenants:
             if tenant.quota_per_s:
                 rate_per_ms = tenant.quota_per_s / settings.replicas / 1000.0
@@ -35,7 +35,7 @@
                 # Infinite tokens: the first refill cuts them to a full bucket.
                 self._quotas[tenant.name] = Quota(rate_per_ms, max_burst, TokenBucket(math.inf, 0.0))
 
-    def count_request(self, tenant: str | None, now_ms: float) -> bool:
+    def count_request(self, tenant: str, now_ms: float) -> bool:
         """Count a request of a tenant, and return whether it goes beyond the tenant's quota."""
         quota = self._quotas.get(tenant)
         return quota is not None and not quota.bucket.try_take(quota.rate_per_ms, quota.max_burst, now_ms)
