--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -3,15 +3,19 @@
 from __future__ import annotations
 
 import copy
+import dataclasses
 import json
 import os
 import subprocess
 import sys
 from pathlib import Path
-from typing import Any
+from typing import Any, get_args
 
 import pytest
 
+from workspond.policy.actions import PolicyAction
+from workspond.simulator_adapter import ACTION_FORMATS
+
 ROOT = Path(__file__).parent.parent
 ENV: dict[str, Any] = {
     "classes": [
@@ -220,6 +224,13 @@
     assert len(replies(run(lines))) == len(lines)
 
 
+def test_every_action_has_a_format_with_attributes_that_it_has() -> None:
+    assert set(ACTION_FORMATS) == set(get_args(PolicyAction))
+    for action, action_format in ACTION_FORMATS.items():
+        names = {field.name for field in dataclasses.fields(action)}
+        assert set(action_format.fields.values()) <= names, action
+
+
 def test_the_end_of_input_is_the_end() -> None:
     result = run([])
     assert (result.returncode, result.stdout, result.stderr) == (0, "", "")
--- a/workspond/json_fields.py
+++ b/workspond/json_fields.py
@@ -1,4 +1,4 @@
-"""Fields of JSON objects, checked one by one; what is wrong is told in one line."""
+"""Checked access to the fields of JSON objects; errors say in one line what is wrong."""
 
 from __future__ import annotations
 
@@ -6,32 +6,36 @@
 from typing import Any, TypeVar
 
 Json = dict[str, Any]
+T = TypeVar("T")
 
-
+NUMBER = (int, float)
 TYPE_NAMES: dict[type | tuple[type, ...], str] = {
     str: "a string",
     bool: "true or false",
     int: "a whole number",
-    (int, float): "a number",
+    NUMBER: "a number",
     dict: "an object",
     list: "an array",
 }
-
-
-T = TypeVar("T")
-
-
-NUMBER = (int, float)
-
-
-MAX_INTEGER = 2**128  # of whole numbers: one that no float can hold stops the first sum with it
+# Limit of integers: Python reads any number of digits, but arithmetic with a float fails for a huge one.
+MAX_INTEGER = 2**128
 
 
 class MalformedInputError(Exception):
-    """Input that does not follow the wire."""
+    """Input does not have the expected form."""
 
 
 def get(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
+    """Return the value of a key.
+
+    Args:
+        obj: The object.
+        key: The key.
+        kind: The type of the value, one of those in `TYPE_NAMES`.
+
+    Raises:
+        MalformedInputError: The key is missing, or its value has another type, is not finite or too large.
+    """
     try:
         value = obj[key]
     except KeyError:
@@ -46,19 +50,42 @@
 
 
 def optional(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
+    """Return the value of a key as `get` does, or the default if the key is missing or null.
+
+    Raises:
+        MalformedInputError: The value is not as `get` expects it.
+    """
     return default if obj.get(key) is None else get(obj, key, kind)
 
 
-def choice(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
+def choice(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
+    """Return what the value of a key stands for.
+
+    Args:
+        obj: The object.
+        key: The key.
+        choices: The allowed values, and what they stand for.
+        kind: The type of the value, one of those in `TYPE_NAMES`.
+
+    Raises:
+        MalformedInputError: The key is missing, or its value is not allowed.
+    """
     value = get(obj, key, kind)
-    if value not in words:
-        raise MalformedInputError(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
-    return words[value]
+    if value not in choices:
+        raise MalformedInputError(
+            f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, choices))}"
+        )
+    return choices[value]
 
 
 def objects(obj: Json, key: str) -> list[Json]:
+    """Return the value of a key that holds an array of objects.
+
+    Raises:
+        MalformedInputError: The key is missing, or its value is not an array of objects.
+    """
     values: list[Json] = get(obj, key, list)
-    for n, value in enumerate(values):
+    for index, value in enumerate(values):
         if not isinstance(value, dict):
-            raise MalformedInputError(f"{key}[{n}] must be an object, not {value!r:.60}")
+            raise MalformedInputError(f"{key}[{index}] must be an object, not {value!r:.60}")
     return values
--- a/workspond/settings_reader.py
+++ b/workspond/settings_reader.py
@@ -1,10 +1,13 @@
-"""Reading settings: JSON objects checked field by field, and the start-up settings in full.
+"""Reads the settings of a deployment from JSON.
 
-Shared by the simulator's adapter and the real node, which find the same object in different places.
+The simulator and the configuration file of the real node hold the same object in different places. Its keys
+are those of the wire; docs/glossary.md lists where they differ from the names here.
 """
 
 from __future__ import annotations
 
+from typing import Any
+
 from workspond.json_fields import NUMBER, Json, choice, get, objects, optional
 from workspond.policy.settings import (
     DeduplicationScope,
@@ -15,17 +18,18 @@
     Tenant,
 )
 
-REPEATS = {
+IDEMPOTENCIES = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-GROUPS = {
+DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-# The wire's keys for those fields of the settings that have another name here.
+DEFAULT_KEEPALIVE_MS = 30_000.0
+# The wire's keys of those fields that an error can name and that have another name here.
 WIRE_KEYS = {
     "deadline_ms": "give_up_ms",
     "deduplication_window_ms": "window_ms",
@@ -45,9 +49,14 @@
 
 
 def read_settings(env: Json) -> Settings:
-    """Turn the start-up settings of the wire into the policy's; unknown keys are ignored.
+    """Read the settings; unknown keys are ignored.
+
+    Args:
+        env: The object with the settings.
 
-    Raises `MalformedInputError`, or `InvalidSettingError` that names the key of the wire.
+    Raises:
+        MalformedInputError: A key is missing or has a value of the wrong type.
+        InvalidSettingError: A value is impossible. The error names the key of the wire.
     """
     try:
         return _read_settings(env)
@@ -56,70 +65,108 @@
 
 
 def _wire_name(name: str) -> str:
-    """The name of a setting with the wire's key in place of the policy's field."""
+    """Replace the name of a field by its key on the wire; its class or tenant stays in front."""
     owner, dot, field = name.rpartition(".")
     return f"{owner}{dot}{WIRE_KEYS.get(field, field)}"
 
 
 def _read_settings(env: Json) -> Settings:
-    classes = [
-        RequestClass(
-            name=get(c, "name", str),
-            objective_ms=get(c, "objective_ms", NUMBER),
-            deadline_ms=get(c, "give_up_ms", NUMBER),
-            priority_weight=optional(c, "importance", NUMBER, 1.0),
-            late_fraction=optional(c, "late_worth", NUMBER, 0.0),
-            idempotency=choice(c, "semantics", REPEATS),
-            deduplication_scope=choice(c, "dedup_scope", GROUPS)
-            if c.get("semantics") == "dedup"
-            else DeduplicationScope.ALL,
-            deduplication_window_ms=get(c, "window_ms", NUMBER) if c.get("semantics") == "dedup" else 0.0,
-        )
-        for c in objects(env, "classes")
-    ]
-    tenants = [
-        Tenant(
-            get(t, "name", str), optional(t, "fraction", NUMBER, 0.0), optional(t, "quota_per_s", NUMBER, 0.0)
-        )
-        for t in (objects(env, "tenants") if env.get("tenants") else [])
-    ]
-    allow, rules = get(env, "permissions", dict), get(env, "rules", dict)
+    # The order decides which one of several mistakes is reported.
+    classes = [_request_class(item) for item in objects(env, "classes")]
+    tenants = [_tenant(item) for item in objects(env, "tenants")] if env.get("tenants") else []
+    permissions = get(env, "permissions", dict)
+    rules = get(env, "rules", dict)
     prices = optional(env, "prices", dict, {})
-    worst = optional(optional(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
+    worst_class_weight = _worst_class_weight(env)
     return Settings(
         classes=classes,
         tenants=tenants,
-        over_quota_fraction=optional(env, "over_share_worth", NUMBER, 1.0),
-        worst_class_weight=worst / (1.0 - worst) if 0.0 <= worst < 1.0 else 0.0,
-        zone=optional(env, "locality", str, ""),
-        replicas=max(1, get(env, "siblings", int)),
-        replica_index=optional(env, "my_number", int, 0),
-        tier=optional(env, "tier", int, 0),
-        tiers=max(1, len(optional(env, "stages", list, []))),
-        passes_deadline=optional(optional(env, "family_info", dict, {}), "passes_deadline", bool, False),
-        requires_subscription=get(env, "membership_mode", str) == "on_request",
+        worst_class_weight=worst_class_weight,
+        **_deployment(env),
         poll_interval_ms=get(rules, "ask_every_ms", NUMBER),
-        max_attempts=get(allow, "max_attempts", int),
-        parallel_attempts=optional(allow, "parallel_tries", bool, False),
-        can_cancel=optional(allow, "may_cancel", bool, False),
-        max_retry_after_ms=(
-            optional(allow, "max_retry_after_ms", NUMBER, 0.0)
-            if optional(allow, "retry_after", bool, False)
-            else 0.0
-        ),
-        connect_timeout_ms=get(allow, "connect_timeout_ms", NUMBER),
-        keepalive_ms=optional(allow, "keepalive_ms", NUMBER, 30_000.0),
+        **_permissions(permissions),
         tick_ms=optional(env, "quantum_ms", NUMBER, 0.0),
-        answer_slack_ms=optional(rules, "answer_slack_ms", NUMBER, 0.0),
-        drain_grace_ms=get(rules, "stop_sending_within_ms", NUMBER),
-        start_capacity=get(rules, "start_capacity", NUMBER),
-        ramp_time_ms=get(rules, "ramp_time_ms", NUMBER),
-        overload_factor=get(rules, "overload_factor", NUMBER),
-        overload_window_ms=get(rules, "overload_for_ms", NUMBER),
-        retry_budget_ratio=optional(rules, "repeat_ratio", NUMBER, None),
-        retry_budget_floor=optional(rules, "extra_floor", NUMBER, 0.0),
-        retry_budget_window_ms=optional(rules, "resend_span_ms", NUMBER, 0.0),
-        rejected_may_have_run=optional(rules, "full_may_have_run", bool, False),
+        **_rules(rules),
         cross_zone_price=optional(prices, "cross_zone", NUMBER, 0.0),
         handshake_price=optional(prices, "handshake", NUMBER, 0.0),
     )
+
+
+def _request_class(item: Json) -> RequestClass:
+    is_keyed = item.get("semantics") == "dedup"
+    return RequestClass(
+        name=get(item, "name", str),
+        objective_ms=get(item, "objective_ms", NUMBER),
+        deadline_ms=get(item, "give_up_ms", NUMBER),
+        priority_weight=optional(item, "importance", NUMBER, 1.0),
+        late_fraction=optional(item, "late_worth", NUMBER, 0.0),
+        idempotency=choice(item, "semantics", IDEMPOTENCIES),
+        deduplication_scope=(
+            choice(item, "dedup_scope", DEDUPLICATION_SCOPES) if is_keyed else DeduplicationScope.ALL
+        ),
+        deduplication_window_ms=get(item, "window_ms", NUMBER) if is_keyed else 0.0,
+    )
+
+
+def _tenant(item: Json) -> Tenant:
+    return Tenant(
+        name=get(item, "name", str),
+        quota_fraction=optional(item, "fraction", NUMBER, 0.0),
+        quota_per_s=optional(item, "quota_per_s", NUMBER, 0.0),
+    )
+
+
+def _worst_class_weight(env: Json) -> float:
+    """Return the weight of the worst-served class over that of all requests, from its part of the score."""
+    score_parts = optional(env, "score_parts", dict, {})
+    fraction: float = optional(score_parts, "worst_class", NUMBER, 0.0)
+    return fraction / (1.0 - fraction) if 0.0 <= fraction < 1.0 else 0.0
+
+
+def _deployment(env: Json) -> dict[str, Any]:
+    """Read the fields of `Settings` that describe the replica and its place in the deployment."""
+    return {
+        "over_quota_fraction": optional(env, "over_share_worth", NUMBER, 1.0),
+        "zone": optional(env, "locality", str, ""),
+        "replicas": max(1, get(env, "siblings", int)),
+        "replica_index": optional(env, "my_number", int, 0),
+        "tier": optional(env, "tier", int, 0),
+        "tiers": max(1, len(optional(env, "stages", list, []))),
+        "passes_deadline": optional(optional(env, "family_info", dict, {}), "passes_deadline", bool, False),
+        "requires_subscription": get(env, "membership_mode", str) == "on_request",
+    }
+
+
+def _permissions(permissions: Json) -> dict[str, Any]:
+    """Read the fields of `Settings` that say what a replica may do."""
+    return {
+        "max_attempts": get(permissions, "max_attempts", int),
+        "parallel_attempts": optional(permissions, "parallel_tries", bool, False),
+        "can_cancel": optional(permissions, "may_cancel", bool, False),
+        "max_retry_after_ms": _max_retry_after_ms(permissions),
+        "connect_timeout_ms": get(permissions, "connect_timeout_ms", NUMBER),
+        "keepalive_ms": optional(permissions, "keepalive_ms", NUMBER, DEFAULT_KEEPALIVE_MS),
+    }
+
+
+def _max_retry_after_ms(permissions: Json) -> float:
+    if not optional(permissions, "retry_after", bool, False):
+        return 0.0
+    max_retry_after_ms: float = optional(permissions, "max_retry_after_ms", NUMBER, 0.0)
+    return max_retry_after_ms
+
+
+def _rules(rules: Json) -> dict[str, Any]:
+    """Read the fields of `Settings` that the operating rules state."""
+    return {
+        "answer_slack_ms": optional(rules, "answer_slack_ms", NUMBER, 0.0),
+        "drain_grace_ms": get(rules, "stop_sending_within_ms", NUMBER),
+        "start_capacity": get(rules, "start_capacity", NUMBER),
+        "ramp_time_ms": get(rules, "ramp_time_ms", NUMBER),
+        "overload_factor": get(rules, "overload_factor", NUMBER),
+        "overload_window_ms": get(rules, "overload_for_ms", NUMBER),
+        "retry_budget_ratio": optional(rules, "repeat_ratio", NUMBER, None),
+        "retry_budget_floor": optional(rules, "extra_floor", NUMBER, 0.0),
+        "retry_budget_window_ms": optional(rules, "resend_span_ms", NUMBER, 0.0),
+        "rejected_may_have_run": optional(rules, "full_may_have_run", bool, False),
+    }
--- a/workspond/simulator_adapter.py
+++ b/workspond/simulator_adapter.py
@@ -1,7 +1,8 @@
-"""The adapter: hosts one `Balancer` per simulated node and speaks the bench's wire.
+"""Hosts one `Balancer` per simulated node and speaks the simulator's wire.
 
-One JSON batch a line on standard input, one JSON reply a line on standard output. No decisions are
-made here. Malformed input ends the process with one line on standard error and exit status 2.
+Each line on standard input is a JSON batch of events, each line on standard output the JSON reply with the
+actions. docs/glossary.md lists how the words of the wire are translated. Malformed input ends the process
+with one line on standard error and exit status 2.
 """
 
 from __future__ import annotations
@@ -9,6 +10,7 @@
 import json
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from typing import TextIO
 
 from workspond.json_fields import NUMBER, Json, MalformedInputError, choice, get, objects, optional
@@ -39,18 +41,18 @@
 )
 from workspond.settings_reader import read_settings
 
-HEALTH = {
+ENDPOINT_STATES = {
     "in_service": EndpointState.IN_SERVICE,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-FORMS = {
+UPDATE_KINDS = {
     "INCREMENTAL": UpdateKind.INCREMENTAL,
     "FULL": UpdateKind.COMPLETE,
     "SAVED": UpdateKind.CACHED,
     "FAILED": UpdateKind.FAILED,
 }
-RESULTS = {
+OUTCOMES = {
     100: Outcome.SUCCESS,
     301: Outcome.ERROR,
     302: Outcome.REJECTED,
@@ -60,185 +62,228 @@
     306: Outcome.CANCELLED,
     307: Outcome.NOT_SENT,
 }
+NO_TENANT = 0  # the owner of a request where there are no tenants
+# The node does not talk to its peers, and makes no health checks.
+IGNORED_KINDS = {"NeighbourSays", "StatusBack"}
 
 
-def _entries(item: Json) -> list[Endpoint]:
-    return [
-        Endpoint(
-            server_id=get(e, "server", int),
-            zone=optional(e, "failure_domain", str, ""),
-            machine_type=optional(e, "sku", str, ""),
-            cell=optional(e, "group", int, 0),
-            state=choice(e, "health", HEALTH),
-            weight=optional(e, "share", NUMBER, 1.0),
-            started_at_ms=optional(e, "boot_time_ms", NUMBER, 0.0) or None,
-        )
-        for e in objects(item, "elements")
-    ]
+def _read_endpoint(entry: Json) -> Endpoint:
+    return Endpoint(
+        server_id=get(entry, "server", int),
+        zone=optional(entry, "failure_domain", str, ""),
+        machine_type=optional(entry, "sku", str, ""),
+        cell=optional(entry, "group", int, 0),
+        state=choice(entry, "health", ENDPOINT_STATES),
+        weight=optional(entry, "share", NUMBER, 1.0),
+        started_at_ms=optional(entry, "boot_time_ms", NUMBER, 0.0) or None,
+    )
 
 
-def _request(item: Json) -> PolicyEvent:
+def _read_request(item: Json) -> RequestReceived:
     return RequestReceived(
-        get(item, "request_id", str),
-        get(item, "type", str),
-        get(item, "ttl_ms", NUMBER),
-        None if item.get("owner") == 0 else optional(item, "owner", str, None),  # 0: no tenants here
-        optional(item, "again_by_client", bool, False),
+        request_id=get(item, "request_id", str),
+        class_name=get(item, "type", str),
+        ttl_ms=get(item, "ttl_ms", NUMBER),
+        tenant=None if item.get("owner") == NO_TENANT else optional(item, "owner", str, None),
+        is_client_retry=optional(item, "again_by_client", bool, False),
+    )
+
+
+def _read_attempt_ended(item: Json) -> AttemptEnded:
+    return AttemptEnded(
+        request_id=get(item, "request_id", str),
+        attempt_number=get(item, "send_no", int),
+        server_id=get(item, "server", int),
+        outcome=choice(item, "disposition", OUTCOMES, int),
+        duration_ms=get(item, "duration_ms", NUMBER),
+        request_finished=get(item, "settled", bool),
+        load_report=_read_load_report(item),
     )
 
 
-def _report(item: Json) -> dict[str, float] | None:
-    """A load report; values that are absent are left out, negative ones (they are noisy) count as 0."""
+def _read_load_report(item: Json) -> dict[str, float] | None:
+    """Read a load report; absent values are left out, negative ones count as 0, as the reports are noisy."""
     report = optional(item, "report", dict, None)
     if report is None:
         return None
     return {name: max(0.0, get(report, name, NUMBER)) for name, value in report.items() if value is not None}
 
 
-def _completed(item: Json) -> PolicyEvent:
-    return AttemptEnded(
-        get(item, "request_id", str),
-        get(item, "send_no", int),
-        get(item, "server", int),
-        choice(item, "disposition", RESULTS, int),
-        get(item, "duration_ms", NUMBER),
-        get(item, "settled", bool),
-        _report(item),
+def _read_stream_started(item: Json) -> StreamStarted:
+    return StreamStarted(
+        request_id=get(item, "request_id", str),
+        attempt_number=get(item, "send_no", int),
+        server_id=get(item, "server", int),
     )
 
 
-def _streaming(item: Json) -> PolicyEvent:
-    request, attempt = get(item, "request_id", str), get(item, "send_no", int)
-    return StreamStarted(request, attempt, get(item, "server", int))
+def _read_timer_fired(item: Json) -> TimerFired:
+    return TimerFired(get(item, "nonce", int))
+
+
+def _read_request_abandoned(item: Json) -> RequestAbandoned:
+    return RequestAbandoned(get(item, "request_id", str))
+
+
+EVENT_READERS: dict[str, Callable[[Json], PolicyEvent]] = {
+    "JobIn": _read_request,
+    "Completed": _read_attempt_ended,
+    "Fired": _read_timer_fired,
+    "ClientGone": _read_request_abandoned,
+    "Streaming": _read_stream_started,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class ActionFormat:
+    """How an action is written to the wire.
+
+    Attributes:
+        kind: The word of the wire for the action.
+        fields: The keys of the wire, each with the attribute of the action that it holds.
+        constants: Keys that always hold the same value.
+    """
+
+    kind: str
+    fields: dict[str, str] = field(default_factory=dict)
+    constants: Json = field(default_factory=dict)
 
 
-READERS: dict[str, Callable[[Json], PolicyEvent]] = {
-    "JobIn": _request,
-    "Completed": _completed,
-    "Fired": lambda item: TimerFired(get(item, "nonce", int)),
-    "ClientGone": lambda item: RequestAbandoned(get(item, "request_id", str)),
-    "Streaming": _streaming,
+ACTION_FORMATS: dict[type[PolicyAction], ActionFormat] = {
+    SendAttempt: ActionFormat(
+        "SubmitTo", {"request_id": "request_id", "server": "server_id", "within_ms": "timeout_ms"}
+    ),
+    SetTimer: ActionFormat("WakeAt", {"nonce": "token", "span_ms": "delay_ms"}),
+    FailRequest: ActionFormat("RespondError", {"request_id": "request_id"}),
+    RejectRequest: ActionFormat("Deny", {"request_id": "request_id", "stay_away_ms": "retry_after_ms"}),
+    CancelAttempt: ActionFormat("StopAttempt", {"request_id": "request_id", "send_no": "attempt_number"}),
+    CloseIdleConnections: ActionFormat("FreeLinks", {"server": "server_id"}),
+    Subscribe: ActionFormat("Track", constants={"on": True}),
+    WriteLog: ActionFormat("Print", {"body_text": "text"}),
 }
-IGNORED = {"NeighbourSays", "StatusBack"}  # the module neither probes nor talks to peers
-
-
-def _write(node: str, action: PolicyAction) -> Json:
-    match action:
-        case SendAttempt():
-            return {
-                "kind": "SubmitTo",
-                "node": node,
-                "request_id": action.request_id,
-                "server": action.server_id,
-                "within_ms": action.timeout_ms,
-            }
-        case SetTimer():
-            return {"kind": "WakeAt", "node": node, "nonce": action.token, "span_ms": action.delay_ms}
-        case FailRequest():
-            return {"kind": "RespondError", "node": node, "request_id": action.request_id}
-        case RejectRequest():
-            return {
-                "kind": "Deny",
-                "node": node,
-                "request_id": action.request_id,
-                "stay_away_ms": action.retry_after_ms,
-            }
-        case CancelAttempt():
-            return {
-                "kind": "StopAttempt",
-                "node": node,
-                "request_id": action.request_id,
-                "send_no": action.attempt_number,
-            }
-        case CloseIdleConnections():
-            return {"kind": "FreeLinks", "node": node, "server": action.server_id}
-        case Subscribe():
-            return {"kind": "Track", "node": node, "on": True}
-        case WriteLog():
-            return {"kind": "Print", "node": node, "body_text": action.text}
+
+
+def _write_action(node: str, action: PolicyAction) -> Json:
+    action_format = ACTION_FORMATS[type(action)]
+    fields = {key: getattr(action, attribute) for key, attribute in action_format.fields.items()}
+    return {"kind": action_format.kind, "node": node, **fields, **action_format.constants}
 
 
 class Host:
-    """All instances of one process, kept apart; they share the list pages only."""
+    """All simulated nodes of one process. They are independent; only the pages of endpoints are shared."""
 
     def __init__(self) -> None:
-        self._nodes: dict[str, Balancer] = {}
-        self._pages: dict[int, list[Endpoint]] = {}
+        self._balancers: dict[str, Balancer] = {}  # by the name of the node
+        self._pages: dict[int, list[Endpoint]] = {}  # lists of endpoints that updates refer to, by number
 
     def batch(self, message: Json) -> Json:
-        """Answer one batch."""
-        now: float = get(message, "ts_ms", NUMBER)
-        number = get(message, "round", int)
+        """Handle one batch of events and return the reply.
+
+        Raises:
+            MalformedInputError: The batch does not follow the wire.
+        """
+        now_ms: float = get(message, "ts_ms", NUMBER)
+        batch_number = get(message, "round", int)
         actions: list[Json] = []
-        for n, item in enumerate(objects(message, "items")):
+        for index, item in enumerate(objects(message, "items")):
             try:
-                self._item(item, now, actions)
-            except MalformedInputError as problem:
-                raise MalformedInputError(f"items[{n}] ({item.get('kind')!r:.40}): {problem}") from None
-        return {"round": number, "actions": actions}
+                actions += self._handle_item(item, now_ms)
+            except MalformedInputError as error:
+                raise MalformedInputError(f"items[{index}] ({item.get('kind')!r:.40}): {error}") from None
+        return {"round": batch_number, "actions": actions}
 
-    def _item(self, item: Json, now: float, actions: list[Json]) -> None:
+    def _handle_item(self, item: Json, now_ms: float) -> list[Json]:
         kind = get(item, "kind", str)
         if kind == "Page":
-            self._pages[get(item, "bank", int)] = _entries(item)
-            return
-        name = get(item, "node", str)
+            self._read_page(item)
+            return []
+        node = get(item, "node", str)
         if kind == "Launch":
-            try:
-                settings = read_settings(get(item, "env", dict))
-            except ValueError as problem:
-                raise MalformedInputError(f"'env' has impossible settings: {problem}") from None
-            self._nodes[name] = Balancer(settings, get(item, "salt", int))
-            event: PolicyEvent = NodeStarted()
-        elif name not in self._nodes:
-            raise MalformedInputError(f"node {name!r:.40} is not running")
-        elif kind == "PowerOff":
-            del self._nodes[name]
-            return
-        elif kind == "View":
-            event = self._view(item)
-        elif kind in READERS:
-            event = READERS[kind](item)
-            if isinstance(event, RequestReceived) and event.class_name not in self._nodes[name].classes:
-                raise MalformedInputError(
-                    f"'type' is {event.class_name!r:.40}, which is no class of the settings"
-                )
-        elif kind in IGNORED:
-            return
-        else:
+            self._balancers[node] = self._launch(item)
+            return self._handle_event(node, NodeStarted(), now_ms)
+        if node not in self._balancers:
+            raise MalformedInputError(f"node {node!r:.40} is not running")
+        if kind == "PowerOff":
+            del self._balancers[node]
+            return []
+        if kind in IGNORED_KINDS:
+            return []
+        return self._handle_event(node, self._read_event(kind, item, self._balancers[node]), now_ms)
+
+    def _handle_event(self, node: str, event: PolicyEvent, now_ms: float) -> list[Json]:
+        return [_write_action(node, action) for action in self._balancers[node].handle(event, now_ms)]
+
+    def _read_page(self, item: Json) -> None:
+        endpoints = [_read_endpoint(entry) for entry in objects(item, "elements")]
+        self._pages[get(item, "bank", int)] = endpoints
+
+    def _launch(self, item: Json) -> Balancer:
+        try:
+            settings = read_settings(get(item, "env", dict))
+        except ValueError as error:
+            raise MalformedInputError(f"'env' has impossible settings: {error}") from None
+        return Balancer(settings, get(item, "salt", int))
+
+    def _read_event(self, kind: str, item: Json, balancer: Balancer) -> PolicyEvent:
+        if kind == "View":
+            return self._read_endpoint_update(item)
+        if kind not in EVENT_READERS:
             raise MalformedInputError("unknown kind of event")
-        for action in self._nodes[name].handle(event, now):
-            actions.append(_write(name, action))
+        event = EVENT_READERS[kind](item)
+        if isinstance(event, RequestReceived) and event.class_name not in balancer.classes:
+            raise MalformedInputError(
+                f"'type' is {event.class_name!r:.40}, which is no class of the settings"
+            )
+        return event
+
+    def _read_endpoint_update(self, item: Json) -> EndpointUpdate:
+        kind = choice(item, "form", UPDATE_KINDS)
+        if kind is UpdateKind.FAILED:
+            return EndpointUpdate(kind)
+        page = get(item, "bank", int)
+        if page not in self._pages:
+            raise MalformedInputError(f"'bank' {page} has had no Page")
+        return EndpointUpdate(kind, get(item, "stamp", int), self._pages[page])
 
-    def _view(self, item: Json) -> PolicyEvent:
-        form = choice(item, "form", FORMS)
-        if form is UpdateKind.FAILED:
-            return EndpointUpdate(form)
-        bank = get(item, "bank", int)
-        if bank not in self._pages:
-            raise MalformedInputError(f"'bank' {bank} has had no Page")
-        return EndpointUpdate(form, get(item, "stamp", int), self._pages[bank])
+
+def _read_batch(source: TextIO) -> Json | None:
+    """Read one batch; None at the end of the input.
+
+    Raises:
+        MalformedInputError: The line is not a JSON object.
+    """
+    try:
+        line = source.readline()
+        message = json.loads(line) if line else None
+    except (ValueError, RecursionError) as error:
+        raise MalformedInputError(f"not JSON: {error!s:.200}") from None
+    if not line:
+        return None
+    if not isinstance(message, dict):
+        raise MalformedInputError(f"a batch must be an object, not {message!r:.60}")
+    return message
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Answer batches until input ends; the exit status."""
-    host, number = Host(), 1
+    """Answer batches until the input ends, and return the exit status.
+
+    Args:
+        source: Where batches are read from.
+        sink: Where replies are written to.
+        errors: Where the error is written to that ends the process.
+    """
+    host = Host()
+    line_number = 1
     while True:
         try:
-            try:
-                line = source.readline()
-                message = json.loads(line) if line else None
-            except (ValueError, RecursionError) as problem:
-                raise MalformedInputError(f"not JSON: {problem!s:.200}") from None
-            if not line:
+            message = _read_batch(source)
+            if message is None:
                 return 0
-            if not isinstance(message, dict):
-                raise MalformedInputError(f"a batch must be an object, not {message!r:.60}")
             reply = host.batch(message)
-        except MalformedInputError as problem:
-            print(f"workspond: input line {number}: {problem}", file=errors)
+        except MalformedInputError as error:
+            print(f"workspond: input line {line_number}: {error}", file=errors)
             return 2
-        number += 1
+        line_number += 1
         sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
         sink.flush()
 
