--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -134,3 +134,9 @@
 def answers(actions: list[PolicyAction]) -> list[PolicyAction]:
     """The final answers that the balancer gives itself."""
     return [action for action in actions if isinstance(action, FailRequest | RejectRequest)]
+
+
+def passes_gate(replica: Replica, request_id: str, server: int) -> bool:
+    """Send through the gate directly, as new code that forgets a rule would."""
+    balancer = replica.balancer
+    return balancer._send(balancer._calls[request_id], balancer.fleet.servers[server], replica.now_ms)
