--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -173,9 +173,7 @@
     assert answers(replica.end_attempt("a", Outcome.REJECTED)) == [FailRequest("a")]
     replica.receive("b", "keyed")
     replica.end_attempt("b", Outcome.REJECTED, 10.0)
-    assert not passes_gate(
-        replica, "b", 1 - replica.sent_to["b"][0] % 2
-    )  # another group
+    assert not passes_gate(replica, "b", 1 - replica.sent_to["b"][0] % 2)  # another group
     replica.receive("c", "non_idempotent")
     assert timers(replica.end_attempt("c", Outcome.CONNECT_FAILED))  # that still proves that it never ran
 
--- a/workspond/policy/concurrency_limit.py
+++ b/workspond/policy/concurrency_limit.py
@@ -34,8 +34,8 @@
     """
     response_rate = controller.response_rate
     if response_rate.span_s < MIN_MEASURED_S:
-        # A replica without a limit in its first second can choke a whole tier. Each response
-        # raises the limit by one, besides the one that it takes out of flight.
+        # A replica without a limit in its first second can choke a whole tier. Each response raises the limit
+        # by one and ends an attempt, so that two more can be sent.
         return INITIAL_PER_SERVER * servers + response_rate.events
     response_rate.record(0.0, now_ms)
     # With nothing added, the limit spirals down where the normal delay is over its fraction of the objective.
--- a/workspond/policy/settings.py
+++ b/workspond/policy/settings.py
@@ -107,7 +107,8 @@
         passes_deadline: Whether a server that calls the next tier passes on the time that remains for its own
             request. If not, such calls have the full deadline of their class.
         requires_subscription: Whether updates of the endpoint list have to be subscribed to.
-        poll_interval_ms: How often the endpoint list may be asked for.
+        poll_interval_ms: The interval at which a replica without a subscription has to poll the endpoint
+            list. It counts as informed of changes that are older than this.
         max_attempts: Maximum number of attempts for a request, the first included.
         parallel_attempts: Whether one request may have two attempts in flight. The node never uses this.
         can_cancel: Whether an attempt in flight may be cancelled.
@@ -120,9 +121,9 @@
             sent to it. The policy sends none from the moment that it knows.
         start_capacity: The fraction of its full capacity with which a server starts.
         ramp_time_ms: The time in which a server warms up to its full capacity.
-        overload_factor: A server that is warming up fails if it is sent more than this multiple of its
-            present capacity,
-        overload_window_ms: for this time.
+        overload_factor: A server that is warming up fails if, over `overload_window_ms`, it is sent more than
+            this multiple of its present capacity.
+        overload_window_ms: The time for which a server that is warming up bears an overload.
         retry_budget_ratio: Retries allowed for each request received, over all classes; None: there is no
             retry budget.
         retry_budget_floor: Retries allowed beyond that in any window.
