--- a/tests/recorded_sessions.py
+++ b/tests/recorded_sessions.py
@@ -144,7 +144,8 @@
     def change(self, rng: random.Random, entries: list[Json], now: float) -> list[Json]:
         """Change some entries in place, or add a server; what has changed."""
         changed: list[Json] = []
-        for entry in rng.sample(entries, self.changed_at_once):
+        for sampled in rng.sample(entries, self.changed_at_once):
+            entry = sampled
             step = rng.choice(("drain", "remove", "restart", "restart", "skew", "weigh", "move", "add"))
             if step == "add":
                 entry = self.entry(rng, max(each["server"] for each in [*entries, *changed]) + 1)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -265,8 +265,11 @@
                 == len(module.fleet.servers)
                 == 1
             )
-            assert not module._calls and not module._waiting and not any(module._queue._queues.values())
-            assert len(module.retry_policy._taken._times) + len(module.retry_policy._further._times) <= 2
+            assert not module._calls and not module._timers._calls and not any(module._queue._queues.values())
+            assert (
+                len(module.retry_policy._requests._times_ms) + len(module.retry_policy._retries._times_ms)
+                <= 2
+            )
             assert node._upstream.connection_count() <= 1
             assert sum(map(len, node._upstream._idle.values())) <= 1
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -98,7 +98,9 @@
             module = running_node(environment)._balancer
             with await connect(environment) as client:
                 client.sendall(request("abandoned"))
-                await until(lambda: bool(server.received) and bool(module._waiting) and not module.in_flight)
+                await until(
+                    lambda: bool(server.received) and bool(module._timers._calls) and not module.in_flight
+                )
                 sent = len(server.received)
                 leave_while_loop_is_busy(client, leave)
                 await all_requests_finished(environment)
@@ -110,7 +112,10 @@
 @each_way_to_leave
 def test_what_waits_for_a_slot(leave: Leave, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The slot becomes free in the turn in which the end is read, before it."""
-    monkeypatch.setattr(request_queue, "HOLD_SHARES", (0.9, 0.9))  # 450 ms: longer than the loop is busy
+    monkeypatch.setattr(
+        request_queue, "MAX_WAIT_FRACTION_FIRST_TIER", 0.9
+    )  # 450 ms: longer than the loop is busy
+    monkeypatch.setattr(request_queue, "MAX_WAIT_FRACTION_LATER_TIERS", 0.9)
 
     async def test() -> None:
         server = Server(HANG)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -35,15 +35,17 @@
     """The fraction of its capacity that the node takes each server to have, by its name."""
     assert environment.node is not None
     module = environment.node._balancer
-    names = {environment.node._endpoints.addresses[id]: id for id in module.fleet.servers}
+    names = {
+        environment.node._endpoints.addresses[server_id]: server_id for server_id in module.fleet.servers
+    }
     by_name = {
         server.name: names["127.0.0.1", int(server.address.rpartition(":")[2])]
         for server in environment.servers
     }
     now = now_ms()
     return {
-        name: module._slow_start.capacity_fraction(module.fleet.servers[id], now)
-        for name, id in by_name.items()
+        name: module._slow_start.capacity_fraction(module.fleet.servers[server_id], now)
+        for name, server_id in by_name.items()
     }
 
 
--- a/tests/test_node_abandoned_requests.py
+++ b/tests/test_node_abandoned_requests.py
@@ -34,7 +34,7 @@
 def test_a_request_whose_caller_has_left_before_a_retry_is_not_sent_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(retry_policy, "RETRY_WAIT_SHARE", 0.4)  # 100 ms at least, to leave in
+    monkeypatch.setattr(retry_policy, "BASE_BACKOFF_FRACTION", 0.4)  # 100 ms at least, to leave in
 
     async def test() -> None:
         server = Server(default=render_response(500))
@@ -43,11 +43,13 @@
             caller.write(request("a"))
             assert environment.node is not None
             balancer = environment.node._balancer
-            await until(lambda: bool(server.received) and bool(balancer._waiting) and not balancer.in_flight)
+            await until(
+                lambda: bool(server.received) and bool(balancer._timers._calls) and not balancer.in_flight
+            )
             sent_count = len(server.received)
             caller.writer.close()
             await until(lambda: not balancer._calls)
-            await until(lambda: not balancer._waiting)  # the time for it has come
+            await until(lambda: not balancer._timers._calls)  # the time for it has come
             assert len(server.received) == sent_count
 
     run(test())
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -25,7 +25,7 @@
     return SendGuard(settings(), {SERVER_ID}, {SERVER_ID: ADDRESS})
 
 
-def pending(history: AttemptHistory, class_name: str = "safe") -> PendingSend:
+def pending(history: AttemptHistory, class_name: str = "idempotent") -> PendingSend:
     return PendingSend("a", class_name, history, SERVER_ID, ADDRESS, math.inf)
 
 
@@ -48,9 +48,9 @@
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SUCCESS])
 def test_an_unsafe_request_that_may_have_run_is_not_written_again(guard: SendGuard, outcome: Outcome) -> None:
     history = history_after(guard, outcome)
-    assert guard.check(pending(history, "unsafe")) is SendRefusal.NON_IDEMPOTENT_RETRY
-    assert guard.check(pending(history, "safe")) is None
-    assert guard.check(pending(history_after(guard, Outcome.REJECTED), "unsafe")) is None
+    assert guard.check(pending(history, "non_idempotent")) is SendRefusal.NON_IDEMPOTENT_RETRY
+    assert guard.check(pending(history, "idempotent")) is None
+    assert guard.check(pending(history_after(guard, Outcome.REJECTED), "non_idempotent")) is None
     assert guard.broken == {SendRefusal.NON_IDEMPOTENT_RETRY: 1}
 
 
@@ -69,9 +69,9 @@
 def test_a_broken_invariant_is_logged_with_its_fields(
     guard: SendGuard, caplog: pytest.LogCaptureFixture
 ) -> None:
-    guard.check(pending(history_after(guard, Outcome.RESET), "unsafe"))
+    guard.check(pending(history_after(guard, Outcome.RESET), "non_idempotent"))
     assert caplog.messages == [
-        "invariant broken: request=a class=unsafe endpoint=127.0.0.1:9000 written=1 "
+        "invariant broken: request=a class=non_idempotent endpoint=127.0.0.1:9000 written=1 "
         'reason="earlier attempt of a non-idempotent request may have run" count=1'
     ]
 
--- a/tests/test_update_latency.py
+++ b/tests/test_update_latency.py
@@ -18,7 +18,7 @@
 from workspond import node
 from workspond.discovery import agent_client as agent_link
 from workspond.discovery import watcher as discovery
-from workspond.policy.subscription_backoff import ASK_LONGEST_MS
+from workspond.policy.subscription_backoff import MAX_SUBSCRIPTION_BACKOFF_MS
 
 MAX_LATENCY_MS = 6000.0  # after discovery had it and could be reached, an update counts as received
 MAX_RELOAD_LATENCY_MS = 4000.0  # after SIGHUP, the list of the new agent counts as received
@@ -39,7 +39,7 @@
 
 def test_the_longest_sum_of_waits_is_within_the_time_after_which_news_counts_as_told() -> None:
     """It was 8.75 s with three silent calls in a row, where the node makes the calls on request."""
-    pushed_ms, asked_ms = node.RESUBSCRIBE_DELAY_S * 1000.0, ASK_LONGEST_MS
+    pushed_ms, asked_ms = node.RESUBSCRIBE_DELAY_S * 1000.0, MAX_SUBSCRIPTION_BACKOFF_MS
     assert discovery.MAX_CONSECUTIVE_FAILURES >= 3
     for pause_ms in (pushed_ms, asked_ms):
         assert discovery.max_update_latency_ms(pause_ms) < MAX_LATENCY_MS - MARGIN_MS
--- a/tests/wire_simulation.py
+++ b/tests/wire_simulation.py
@@ -171,13 +171,19 @@
 
     def arrive(self, node: str, cls: Json) -> list[Json]:
         """A request comes in; its client may leave early, and has left once an answer is overdue."""
-        id = f"{node}-{len(self.requests)}"
+        request_id = f"{node}-{len(self.requests)}"
         ttl_ms = round(cls["give_up_ms"] * self.rng.choice((0.3, 0.6, 1.0)), 3)
-        request = self.requests[id] = RequestModel(node, self.now + ttl_ms, cls["stream"])
+        request = self.requests[request_id] = RequestModel(node, self.now + ttl_ms, cls["stream"])
         leaves = self.rng.random() < self.session.leaving
         gone_ms = ttl_ms * self.rng.random() if leaves else ttl_ms + self.session.tick_ms * 2
-        self.schedule(gone_ms, node, partial(self.leave, id, request))
-        item = {"kind": "JobIn", "node": node, "request_id": id, "type": cls["name"], "ttl_ms": ttl_ms}
+        self.schedule(gone_ms, node, partial(self.leave, request_id, request))
+        item = {
+            "kind": "JobIn",
+            "node": node,
+            "request_id": request_id,
+            "type": cls["name"],
+            "ttl_ms": ttl_ms,
+        }
         owners = [tenant["name"] for tenant in self.session.settings["tenants"]]
         item["owner"] = self.rng.choice(owners) if owners else self.rng.choice((0, None))
         if self.rng.random() < 0.1:
@@ -193,12 +199,12 @@
         status |= {"duration_ms": 1.4, "report": None}
         return [status, {"kind": "NeighbourSays", "node": node, "src": 2, "msg": "68692037"}]
 
-    def leave(self, id: str, request: RequestModel) -> list[Json]:
+    def leave(self, request_id: str, request: RequestModel) -> list[Json]:
         """The client goes, unless it has been answered."""
         if request.finished:
             return []
         request.finished = True
-        return [{"kind": "ClientGone", "node": request.node, "request_id": id}]
+        return [{"kind": "ClientGone", "node": request.node, "request_id": request_id}]
 
     # Attempts
 
@@ -227,6 +233,15 @@
             return MOOT, 0.0
         if luck > UNANSWERED:
             return TIMEOUT, limit_ms
+        failure = self.failure(server, luck, limit_ms)
+        if failure is not None:
+            return failure
+        work_ms = session.work_ms * server.slow * (0.5 + self.rng.random()) * (1.0 + server.busy / 2.0)
+        return (OK, round(work_ms, 3)) if work_ms < limit_ms else (TIMEOUT, limit_ms)
+
+    def failure(self, server: ServerModel, luck: float, limit_ms: float) -> tuple[int, float] | None:
+        """How an attempt fails at a server, and how long that takes; None if the server works on it."""
+        session = self.session
         if luck < server.down or server.entry["health"] == "terminated":
             return CONNECT_FAILED, min(limit_ms, session.settings["permissions"]["connect_timeout_ms"])
         if server.busy >= session.room or server.entry["health"] == "terminating":
@@ -235,8 +250,7 @@
             return ERROR, min(limit_ms, 2.0)
         if luck < server.down + server.error + server.reset:
             return RESET, min(limit_ms, self.rng.choice((0.5, 25.0)))
-        work_ms = session.work_ms * server.slow * (0.5 + self.rng.random()) * (1.0 + server.busy / 2.0)
-        return (OK, round(work_ms, 3)) if work_ms < limit_ms else (TIMEOUT, limit_ms)
+        return None
 
     def complete(self, request: RequestModel, server: ServerModel, ended: Json) -> list[Json]:
         """An attempt ends; a success is the request's answer."""
