--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -171,7 +171,7 @@
 
 def test_what_discovery_gets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The whole list first, then watches, each from the version last heard."""
-    monkeypatch.setattr(peers, "Registry", RawRegistry)
+    monkeypatch.setattr(peers, "ScriptedDiscoveryAgent", RawRegistry)
 
     async def test() -> None:
         async with node_environment(tmp_path, server := Server()) as environment:
