--- a/tests/wire_simulation.py
+++ b/tests/wire_simulation.py
@@ -15,7 +15,7 @@
 Json = dict[str, Any]
 Event = tuple[float, int, str, Callable[[], list[Json]]]  # when, in what order, whose, and what happens
 UNANSWERED, NOT_SENT = 0.98, 0.99  # of an attempt's luck: from where it is lost, and is not even sent
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, MOOT = 100, 301, 302, 303, 304, 305, 307
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, NEVER_SENT = 100, 301, 302, 303, 304, 305, 307
 
 
 def encoded(value: Json) -> str:
@@ -230,7 +230,7 @@
         limit_ms = round(min(limit_ms, within_ms) if within_ms > 0.0 else limit_ms, 3)
         luck, session = self.rng.random(), self.session
         if request.finished or luck > NOT_SENT:
-            return MOOT, 0.0
+            return NEVER_SENT, 0.0
         if luck > UNANSWERED:
             return TIMEOUT, limit_ms
         failure = self.failure(server, luck, limit_ms)
