--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -119,7 +119,7 @@
 
 def test_over_share_tenants_wait_last() -> None:
     tenants = [Tenant("x", 0.5, 5.0), Tenant("y", 0.5, 5.0)]
-    replica = Replica(servers=2, tenants=tenants, over_quota_fraction=0.05)
+    replica = Replica(servers=2, tenants=tenants, over_quota_value_fraction=0.05)
     replica.serve(200)
     n = 0
     while not timers(replica.receive(f"b{n}", tenant="x")):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -103,13 +103,14 @@
     assert max(waits) <= 0.1 * 1000.0
 
 
-@pytest.mark.parametrize(("late_fraction", "is_retried"), [(0.0, False), (0.5, True)])
+@pytest.mark.parametrize(("late_value_fraction", "is_retried"), [(0.0, False), (0.5, True)])
 def test_no_further_attempt_whose_answer_could_only_be_worthless(
-    late_fraction: float, is_retried: bool
+    late_value_fraction: float, is_retried: bool
 ) -> None:
-    # The client waits for 3 s, but an answer after the objective of 1 s has no value if late_fraction is 0.
+    # The client waits for 3 s, but with a late_value_fraction of 0 an answer after 1 s (the objective) is
+    # worthless.
     request_class = RequestClass(
-        "read", 1000.0, 3000.0, late_fraction=late_fraction, idempotency=Idempotency.IDEMPOTENT
+        "read", 1000.0, 3000.0, late_value_fraction=late_value_fraction, idempotency=Idempotency.IDEMPOTENT
     )
     replica = Replica(classes=[request_class])
     replica.serve(60, "read", delay_ms=100.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,7 +19,7 @@
         ({"classes": []}, "classes"),
         ({"classes": [IDEMPOTENT, IDEMPOTENT]}, "classes"),
         ({"classes": [RequestClass("a", 0.0, 100.0)]}, "objective_ms"),
-        ({"classes": [RequestClass("a", 10.0, 100.0, late_fraction=1.5)]}, "late_fraction"),
+        ({"classes": [RequestClass("a", 10.0, 100.0, late_value_fraction=1.5)]}, "late_value_fraction"),
         ({"tick_ms": -1.0}, "tick_ms"),
         ({"ramp_time_ms": float("nan")}, "ramp_time_ms"),
         ({"start_capacity": 1.1}, "start_capacity"),
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -102,7 +102,7 @@
         if statistics.in_time_fraction[class_name] <= statistics.worst_in_time_fraction():
             value += self._settings.worst_class_weight / statistics.request_fraction[class_name]
         # A tenant that floods the service waits behind the others.
-        value *= self._settings.over_quota_fraction if over_quota else 1.0
+        value *= self._settings.over_quota_value_fraction if over_quota else 1.0
         return value / max(1.0, self._expected_delay_ms(class_name))
 
     def _expected_delay_ms(self, class_name: str) -> float:
--- a/workspond/policy/call.py
+++ b/workspond/policy/call.py
@@ -15,8 +15,8 @@
         request_class: The class of the request.
         arrived_at_ms: When the node received it.
         deadline_at_ms: When its client stops waiting.
-        useful_until_ms: Until when an answer has any value. Where late answers have none
-            (`RequestClass.late_fraction` is 0) this is the latency objective, though the client waits on.
+        useful_until_ms: When an answer loses all value. This is the latency objective if late answers have
+            none (`RequestClass.late_value_fraction` is 0), although the client waits until the deadline.
         over_quota: Whether it goes beyond its tenant's quota.
         attempts: Attempts sent so far.
         attempt_in_flight: Whether an attempt is in flight.
@@ -55,7 +55,7 @@
         self.deadline_at_ms = now_ms + event.ttl_ms
         self.useful_until_ms = (
             self.deadline_at_ms
-            if request_class.late_fraction
+            if request_class.late_value_fraction
             else min(self.deadline_at_ms, now_ms + request_class.objective_ms)
         )
         self.over_quota = False
--- a/workspond/policy/settings.py
+++ b/workspond/policy/settings.py
@@ -56,7 +56,7 @@
         objective_ms: The latency objective: an answer within this time has its full value.
         deadline_ms: How long a client waits for the answer, over all attempts.
         priority_weight: The value of an answer, relative to that of other classes.
-        late_fraction: The fraction of its value that an answer has after the objective and before the
+        late_value_fraction: The fraction of its value that an answer has after the objective and before the
             deadline.
         idempotency: Whether its requests may run more than once.
         deduplication_scope: For `KEYED`: which servers drop repeats.
@@ -67,7 +67,7 @@
     objective_ms: float
     deadline_ms: float
     priority_weight: float = 1.0
-    late_fraction: float = 0.0
+    late_value_fraction: float = 0.0
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ms: float = 0.0
@@ -81,7 +81,7 @@
         name: Its name, by which requests refer to it.
         quota_fraction: The fraction of the service that it is entitled to.
         quota_per_s: Its quota in requests per second, over all replicas; 0: no quota. Requests beyond it have
-            the fraction `Settings.over_quota_fraction` of their value.
+            the fraction `Settings.over_quota_value_fraction` of their value.
     """
 
     name: str
@@ -96,7 +96,7 @@
     Attributes:
         classes: All classes of requests; at least one.
         tenants: The tenants that have a quota.
-        over_quota_fraction: The fraction of its value that a request beyond its tenant's quota has.
+        over_quota_value_fraction: The fraction of its value that a request beyond its tenant's quota has.
         worst_class_weight: The weight of the class that is served worst in the operators' score, relative to
             the weight of all requests.
         zone: The zone of this replica.
@@ -140,7 +140,7 @@
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
-    over_quota_fraction: float = 1.0
+    over_quota_value_fraction: float = 1.0
     worst_class_weight: float = 0.0
     zone: str = ""
     replicas: int = 1
@@ -219,9 +219,12 @@
 
     def _fractions(self) -> dict[str, float]:
         """Return the values that must be within 0 to 1, by the name that an error gives them."""
-        values = {"start_capacity": self.start_capacity, "over_quota_fraction": self.over_quota_fraction}
+        values = {
+            "start_capacity": self.start_capacity,
+            "over_quota_value_fraction": self.over_quota_value_fraction,
+        }
         for request_class in self.classes:
-            values[f"classes[{request_class.name}].late_fraction"] = request_class.late_fraction
+            values[f"classes[{request_class.name}].late_value_fraction"] = request_class.late_value_fraction
         for tenant in self.tenants:
             values[f"tenants[{tenant.name}].quota_fraction"] = tenant.quota_fraction
         if self.retry_budget_ratio is not None:
--- a/workspond/policy/tenant_quotas.py
+++ b/workspond/policy/tenant_quotas.py
@@ -1,6 +1,6 @@
 """The tenants' quotas: which requests go beyond them.
 
-Such requests are not rejected for it. They have a lower priority, see `Settings.over_quota_fraction`.
+Such requests are not rejected for it. They have a lower priority, see `Settings.over_quota_value_fraction`.
 """
 
 from __future__ import annotations
--- a/workspond/settings_reader.py
+++ b/workspond/settings_reader.py
@@ -33,8 +33,8 @@
 WIRE_KEYS = {
     "deadline_ms": "give_up_ms",
     "deduplication_window_ms": "window_ms",
-    "late_fraction": "late_worth",
-    "over_quota_fraction": "over_share_worth",
+    "late_value_fraction": "late_worth",
+    "over_quota_value_fraction": "over_share_worth",
     "overload_window_ms": "overload_for_ms",
     "poll_interval_ms": "ask_every_ms",
     "priority_weight": "importance",
@@ -99,7 +99,7 @@
         objective_ms=get(item, "objective_ms", NUMBER),
         deadline_ms=get(item, "give_up_ms", NUMBER),
         priority_weight=optional(item, "importance", NUMBER, 1.0),
-        late_fraction=optional(item, "late_worth", NUMBER, 0.0),
+        late_value_fraction=optional(item, "late_worth", NUMBER, 0.0),
         idempotency=choice(item, "semantics", IDEMPOTENCIES),
         deduplication_scope=(
             choice(item, "dedup_scope", DEDUPLICATION_SCOPES) if is_keyed else DeduplicationScope.ALL
@@ -126,7 +126,7 @@
 def _deployment(env: Json) -> dict[str, Any]:
     """Read the fields of `Settings` that describe the replica and its place in the deployment."""
     return {
-        "over_quota_fraction": optional(env, "over_share_worth", NUMBER, 1.0),
+        "over_quota_value_fraction": optional(env, "over_share_worth", NUMBER, 1.0),
         "zone": optional(env, "locality", str, ""),
         "replicas": max(1, get(env, "siblings", int)),
         "replica_index": optional(env, "my_number", int, 0),
