--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -113,7 +113,7 @@
     replica.serve(200, "non_idempotent")
     n = fill(replica)
     assert sends(replica.receive("preferred", "non_idempotent"))
-    limit = concurrency_limit(replica.balancer.controller, 2.0, replica.now_ms)
+    limit = concurrency_limit(replica.balancer.retry_controller, 2.0, replica.now_ms)
     assert n < limit <= n + 3
 
 
@@ -143,7 +143,7 @@
         assert sends(replica.receive(request_id, "non_idempotent"))
     replica.now_ms += 1.0
     replica.serve(1)
-    limit = concurrency_limit(replica.balancer.controller, 1.0, replica.now_ms + 300.0)
+    limit = concurrency_limit(replica.balancer.retry_controller, 1.0, replica.now_ms + 300.0)
     monkeypatch.setattr(admission, "concurrency_limit", lambda *_: 3.0)
     assert limit > 0.0 and not sends(replica.receive("queued", "non_idempotent"))
     replica.now_ms += 300.0
@@ -166,17 +166,17 @@
     """Otherwise servers with too many requests fail one after another, and stay overloaded."""
     replica = Replica(servers=4)
     replica.serve(100, delay_ms=50.0)
-    assert replica.balancer.controller.shed_fraction(replica.now_ms) == 0.0
+    assert replica.balancer.retry_controller.shed_fraction(replica.now_ms) == 0.0
     for n in range(30):
         replica.receive(f"slow{n}", "non_idempotent")
         if replica.sent_to.get(f"slow{n}"):
             replica.end_attempt(f"slow{n}", Outcome.SUCCESS, 900.0)
-    assert replica.balancer.controller.shed_fraction(replica.now_ms) > 0.3
+    assert replica.balancer.retry_controller.shed_fraction(replica.now_ms) > 0.3
     admitted = sum(bool(sends(replica.receive(f"low{n}"))) for n in range(100))
     assert admitted < 70  # the class of the lowest priority is shed first
     deeper = Replica(servers=4, tier=1)
-    deeper.balancer.controller._shed_fraction = 0.8
-    deeper.balancer.controller._sampled_at_ms = deeper.now_ms
+    deeper.balancer.retry_controller._shed_fraction = 0.8
+    deeper.balancer.retry_controller._sampled_at_ms = deeper.now_ms
     assert sends(deeper.receive("a"))  # behind the first tier a rejection wastes the work done before
 
 
@@ -188,7 +188,7 @@
         replica.receive(f"f{n}", "non_idempotent")
         if replica.sent_to.get(f"f{n}"):
             replica.end_attempt(f"f{n}", Outcome.REJECTED, 5.0)
-    assert replica.balancer.controller.shed_fraction(replica.now_ms) > 0.0
+    assert replica.balancer.retry_controller.shed_fraction(replica.now_ms) > 0.0
 
 
 def test_a_copy_that_sees_only_failures_goes_on() -> None:
@@ -197,5 +197,7 @@
     for n in range(40):
         replica.receive(f"f{n}")
         replica.end_attempt(f"f{n}", Outcome.CONNECT_FAILED, 100.0)
-    assert concurrency_limit(replica.balancer.controller, 4.0, replica.now_ms) == INITIAL_PER_SERVER * 4.0
+    assert (
+        concurrency_limit(replica.balancer.retry_controller, 4.0, replica.now_ms) == INITIAL_PER_SERVER * 4.0
+    )
     assert sends(replica.receive("later"))
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -41,7 +41,7 @@
     assert replica.handle(RequestAbandoned("nobody")) == []
     replica.handle(AttemptEnded("nobody", 0, 0, Outcome.SUCCESS, 5.0, True))
     replica.handle(AttemptEnded("nobody", 0, 77, Outcome.ERROR, 5.0, True))
-    assert math.isfinite(replica.balancer.controller.allowed_rate)
+    assert math.isfinite(replica.balancer.retry_controller.allowed_rate)
 
 
 def test_a_stream_binds_its_request() -> None:
@@ -57,13 +57,13 @@
     replica.serve(20)
     share, answers = (
         replica.balancer.typical_delay.objective_ratio,
-        replica.balancer.controller.response_rate.events,
+        replica.balancer.retry_controller.response_rate.events,
     )
     replica.receive("abandoned")
     replica.handle(RequestAbandoned("abandoned"), 10.0)
     replica.end_attempt("abandoned", Outcome.SUCCESS, 800.0, request_finished=True)
     assert replica.balancer.typical_delay.objective_ratio > 1.2 * share
-    assert replica.balancer.controller.response_rate.events > 0.8 * answers + 0.9
+    assert replica.balancer.retry_controller.response_rate.events > 0.8 * answers + 0.9
     replica.receive("abandoned late")
     replica.handle(RequestAbandoned("abandoned late"), 10.0)
     replica.end_attempt("abandoned late", Outcome.TIMEOUT, 2850.0, request_finished=True)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -210,7 +210,7 @@
         patch.setattr(Server, "deduplication_group", lambda *_: None)
         assert first_violation().startswith("rule 2")
     with monkeypatch.context() as patch:
-        patch.setattr(Balancer, "_end_unanswered", always)
+        patch.setattr(Balancer, "_reject_or_fail", always)
         assert first_violation().startswith("rule 1")
     with monkeypatch.context() as patch:
         patch.setattr(
--- a/workspond/policy/__init__.py
+++ b/workspond/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The load-balancing policy: typed events in, typed actions out, no I/O and no clock of its own."""
+"""The load-balancing policy: it turns typed events into typed actions, without I/O and without a clock."""
--- a/workspond/policy/actions.py
+++ b/workspond/policy/actions.py
@@ -1,6 +1,6 @@
 """Actions: the output of the policy, which the node carries out.
 
-Ids are those that the node gave in events.
+Actions refer to requests and servers by the ids that the node used in events.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
     """Send the next attempt of a request.
 
     Attributes:
-        request_id: The request.
-        server_id: The server to send it to.
-        timeout_ms: The attempt ends as `TIMEOUT` after this time.
-        new_connection: Whether it needs a new connection. An idle one may have been dropped without a sign,
-            and a request that is lost on it may have run.
-        send_within_ms: If the attempt has not been written within this time, for example because the
-            connection took too long, it must not be written any more and ends as `NOT_SENT`.
+        request_id: The id of the request.
+        server_id: The id of the server to send it to.
+        timeout_ms: The time after which the attempt ends with the outcome `TIMEOUT`.
+        new_connection: Whether the attempt needs a new connection. An idle connection may have been dropped
+            without notice, and a request that is lost on it may have run.
+        send_within_ms: The time within which the attempt must be written to its connection. If that is not
+            possible, for example because connecting took too long, it ends with the outcome `NOT_SENT`.
     """
 
     request_id: str
@@ -32,18 +32,18 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """End the request with an error, which leaves open whether it ran."""
+    """End the request with an error, which does not tell the client whether the request ran."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """End the request with a rejection, which tells the client that a retry is harmless.
+    """End the request with a rejection, which tells the client that it may safely retry.
 
     Attributes:
-        request_id: The request.
-        retry_after_ms: The advice when to retry; 0: none.
+        request_id: The id of the request.
+        retry_after_ms: The time that the client is advised to wait before a retry; 0 for no advice.
     """
 
     request_id: str
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel an attempt."""
+    """Cancel an attempt that is in flight."""
 
     request_id: str
     attempt_number: int
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Deliver `TimerFired` with this token after `delay_ms`."""
+    """Deliver a `TimerFired` event with this token after `delay_ms`."""
 
     token: int
     delay_ms: float
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Subscribe to the endpoint list."""
+    """Subscribe to updates of the endpoint list."""
 
 
 @dataclass(slots=True)
--- a/workspond/policy/call.py
+++ b/workspond/policy/call.py
@@ -1,4 +1,4 @@
-"""A request that has not been answered yet, as the policy sees it."""
+"""The state that the policy keeps for a request that has no final answer yet."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
     """One request with its attempts.
 
     Attributes:
-        id: The node's id of the request.
+        id: The id that the node gave the request.
         request_class: The class of the request.
-        arrived_at_ms: When the node received it.
-        deadline_at_ms: When its client stops waiting.
-        useful_until_ms: When an answer loses all value. This is the latency objective if late answers have
-            none (`RequestClass.late_value_fraction` is 0), although the client waits until the deadline.
-        over_quota: Whether it goes beyond its tenant's quota.
-        attempts: Attempts sent so far.
+        arrived_at_ms: When the node received the request.
+        deadline_at_ms: When the client stops waiting.
+        useful_until_ms: When an answer loses all value: at the deadline, or at the latency objective if late
+            answers have no value (`RequestClass.late_value_fraction` is 0).
+        over_quota: Whether the request exceeds its tenant's quota.
+        attempts: The number of attempts sent so far.
         attempt_in_flight: Whether an attempt is in flight.
         sent_at_ms: When the last attempt was sent.
-        connection_idle_ms: How long the connection of the last attempt had been idle before.
+        connection_idle_ms: How long the connection of the last attempt had been idle before the attempt.
         last_server: The server of the last attempt.
-        first_possible_run_at_ms: When the first attempt was sent that may have run; None if none may have.
-        deduplication_group: The group of servers that drops repeats of that first attempt.
-        is_queued: Whether it waits in the `RequestQueue`.
-        timer_token: The token of the timer that it waits for; 0 if none.
+        first_possible_run_at_ms: When the first attempt that may have run was sent; None if no attempt can
+            have run.
+        deduplication_group: The group of servers that drops repeats of the first attempt that may have run.
+        is_queued: Whether the request waits in the `RequestQueue`.
+        timer_token: The token of the timer that the request waits for; 0 if none.
     """
 
     __slots__ = (
@@ -48,7 +49,7 @@
     )
 
     def __init__(self, event: RequestReceived, request_class: RequestClass, now_ms: float) -> None:
-        """Describe a request that was received at `now_ms`."""
+        """Create the state of a request that was received at `now_ms`."""
         self.id = event.request_id
         self.request_class = request_class
         self.arrived_at_ms = now_ms
--- a/workspond/policy/endpoint.py
+++ b/workspond/policy/endpoint.py
@@ -7,25 +7,25 @@
 
 
 class EndpointState(Enum):
-    """The state of a server's process, as discovery reports it."""
+    """The state of a server process as reported by discovery."""
 
-    IN_SERVICE = "in_service"
-    DRAINING = "draining"  # it finishes what it has, and must get nothing new
-    REMOVED = "removed"  # the process has ended
+    IN_SERVICE = "in_service"  # the server accepts new requests
+    DRAINING = "draining"  # the server completes its current requests and must get no new ones
+    REMOVED = "removed"  # the server process has ended
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One server of the endpoint list.
+    """The entry of one server in the endpoint list.
 
     Attributes:
-        server_id: The node's id of the server; its address is known to the node alone.
-        zone: The zone that it runs in.
-        machine_type: The type of its machine.
-        cell: The cell that it belongs to; see `DeduplicationScope.CELL`.
-        state: Whether it is in service.
-        weight: The share of the requests that it is to get, relative to the other servers.
-        started_at_ms: When its process started; None: long ago, so that it has warmed up.
+        server_id: The id that the node gave the server. The policy does not know the server's address.
+        zone: The zone in which the server runs.
+        machine_type: The type of the server's machine.
+        cell: The cell that the server belongs to; see `DeduplicationScope.CELL`.
+        state: Whether the server is in service.
+        weight: The share of requests that the server should get, relative to the other servers.
+        started_at_ms: When the server process started; None if that was long enough ago for it to be warm.
     """
 
     server_id: int
--- a/workspond/policy/events.py
+++ b/workspond/policy/events.py
@@ -1,6 +1,6 @@
 """Events: the input of the policy.
 
-Ids are chosen by the node and come back unchanged in actions.
+The node chooses the ids of requests and servers. The policy returns them unchanged in its actions.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 class UpdateKind(Enum):
     """What an update of the endpoint list contains."""
 
-    INCREMENTAL = "incremental"  # the entries that changed
-    COMPLETE = "complete"  # all entries; replaces the previous list
-    CACHED = "cached"  # all entries as the node last saved them; they may be out of date
-    FAILED = "failed"  # no entries: a subscription or a poll failed
+    INCREMENTAL = "incremental"  # only the entries that changed
+    COMPLETE = "complete"  # all entries; they replace the previous list
+    CACHED = "cached"  # all entries as last saved by the node; they may be out of date
+    FAILED = "failed"  # no entries, as a subscription or a poll failed
 
 
 class Outcome(IntEnum):
     """How an attempt ended.
 
-    `REJECTED`, `CONNECT_FAILED` and `NOT_SENT` prove that it never ran; `REJECTED` does not where
-    `Settings.rejected_may_have_run` is set.
+    After `REJECTED`, `CONNECT_FAILED` and `NOT_SENT` it is certain that the attempt never ran. `REJECTED` is
+    an exception if `Settings.rejected_may_have_run` is set.
     """
 
-    SUCCESS = 0  # a complete response
-    ERROR = 1  # the server answered that it failed
-    REJECTED = 2  # the server answered that it does not take the request now
-    TIMEOUT = 3  # no response within the timeout of the attempt
-    CONNECT_FAILED = 4  # no connection to the server
+    SUCCESS = 0  # the server sent a complete response
+    ERROR = 1  # the server answered that the request failed
+    REJECTED = 2  # the server answered that it does not accept the request now
+    TIMEOUT = 3  # no response arrived within the timeout of the attempt
+    CONNECT_FAILED = 4  # no connection to the server could be opened
     RESET = 5  # the connection was lost before the response was complete
-    CANCELLED = 6  # the node cancelled it
-    NOT_SENT = 7  # it was blocked before it was written
+    CANCELLED = 6  # the node cancelled the attempt
+    NOT_SENT = 7  # the node blocked the attempt before it was written to a connection
 
 
 @dataclass(slots=True)
@@ -48,8 +48,8 @@
 
     Attributes:
         kind: What `endpoints` contains.
-        version: The version of the list.
-        endpoints: The entries.
+        version: The version of the endpoint list.
+        endpoints: The entries of the update.
     """
 
     kind: UpdateKind
@@ -59,14 +59,14 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """The node has received a request, which gets one final answer.
+    """The node has received a request, which must get exactly one final answer.
 
     Attributes:
-        request_id: The node's id of the request.
-        class_name: The name of its `RequestClass`.
-        ttl_ms: For how long the client waits for the answer.
-        tenant: The name of the tenant that it belongs to, if any.
-        is_client_retry: Whether the client says that it is a retry.
+        request_id: The id that the node gave the request.
+        class_name: The name of the request's `RequestClass`.
+        ttl_ms: The time that the client waits for the answer.
+        tenant: The name of the tenant that sent the request, if any.
+        is_client_retry: Whether the client marked the request as a retry.
     """
 
     request_id: str
@@ -81,14 +81,14 @@
     """An attempt has ended.
 
     Attributes:
-        request_id: The request.
-        attempt_number: The attempt among those of the request, from 0.
-        server_id: The server.
-        outcome: How it ended.
-        duration_ms: The time from send to end.
-        request_finished: Whether the request has its final answer, or needs none any more.
-        load_report: What the server reported of its load in the response, by name. The policy uses `queue`,
-            the number of requests that wait there.
+        request_id: The id of the request.
+        attempt_number: The index of the attempt among the attempts of the request, from 0.
+        server_id: The id of the server.
+        outcome: How the attempt ended.
+        duration_ms: The time from the start of the attempt to its end.
+        request_finished: Whether the request has its final answer, or no longer needs one.
+        load_report: The load that the server reported in the response, by name of the figure. The policy uses
+            `queue`, the number of requests waiting at the server.
     """
 
     request_id: str
@@ -111,14 +111,14 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """The request needs no answer any more, as its client has disconnected."""
+    """The client of a request has disconnected, so the request no longer needs an answer."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer of `SetTimer` has fired."""
+    """A timer that was set with `SetTimer` has fired."""
 
     token: int
 
--- a/workspond/policy/settings.py
+++ b/workspond/policy/settings.py
@@ -1,6 +1,6 @@
-"""The settings of a deployment, and the checks that reject impossible ones.
+"""The settings of a deployment, and their validation.
 
-The keys that the settings have on the wire are listed in docs/glossary.md.
+docs/glossary.md lists the keys of the settings on the wire.
 """
 
 from __future__ import annotations
@@ -10,22 +10,24 @@
 from dataclasses import dataclass, field, fields
 from enum import Enum
 
-# Fields that must be finite and not negative: those whose name ends so, and these.
+# A field must be finite and not negative if its name has one of these suffixes or is one of these names.
 NON_NEGATIVE_SUFFIXES = ("_ms", "_price")
 NON_NEGATIVE_NAMES = frozenset(("retry_budget_floor", "worst_class_weight"))
+# Minimum values of the integer fields, by field name.
 MINIMUM_COUNTS = {"replicas": 1, "tiers": 1, "max_attempts": 1, "replica_index": 0, "tier": 0}
 
 
 class InvalidSettingError(ValueError):
-    """A setting has a value that is impossible.
+    """A setting has an invalid value.
 
     Attributes:
-        name: The field, preceded by its class or tenant where it belongs to one.
-        problem: What is wrong with its value.
+        name: The name of the field; for a field of a class or tenant, `classes[NAME].field` or
+            `tenants[NAME].field`.
+        problem: The expected value and the actual one.
     """
 
     def __init__(self, name: str, problem: str) -> None:
-        """Name the field, preceded by its class or tenant where it belongs to one, and the problem."""
+        """Create an error about the field `name`; see the attributes for both arguments."""
         super().__init__(f"{name}: {problem}")
         self.name = name
         self.problem = problem
@@ -34,33 +36,35 @@
 class Idempotency(Enum):
     """Whether a request of a class may run more than once."""
 
-    IDEMPOTENT = "idempotent"  # any number of times
-    KEYED = "keyed"  # it carries a key, by which the servers of one group drop repeats within a time window
-    NON_IDEMPOTENT = "non_idempotent"  # never
+    IDEMPOTENT = "idempotent"  # a request may run any number of times
+    # A request has an idempotency key. The servers of one deduplication group use the key to drop repeats
+    # within a time window.
+    KEYED = "keyed"
+    NON_IDEMPOTENT = "non_idempotent"  # a request must not run more than once
 
 
 class DeduplicationScope(Enum):
-    """Which servers form a group that drops the repeats of a keyed request."""
+    """Which servers form a deduplication group, whose members together drop repeats of a keyed request."""
 
-    ALL = "all"  # all servers are one group
-    ZONE = "zone"  # the servers of one zone
-    CELL = "cell"  # the servers of one cell
+    ALL = "all"  # all servers form one group
+    ZONE = "zone"  # the servers of each zone form a group
+    CELL = "cell"  # the servers of each cell form a group
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """A class of requests.
+    """A class of requests with the same objective, deadline, priority and idempotency.
 
     Attributes:
-        name: Its name, by which requests refer to it.
-        objective_ms: The latency objective: an answer within this time has its full value.
-        deadline_ms: How long a client waits for the answer, over all attempts.
-        priority_weight: The value of an answer, relative to that of other classes.
+        name: The name by which requests refer to the class.
+        objective_ms: The latency objective. An answer within this time has its full value.
+        deadline_ms: The time that a client waits for the answer, over all attempts.
+        priority_weight: The value of an answer, relative to the answers of other classes.
         late_value_fraction: The fraction of its value that an answer has after the objective and before the
             deadline.
-        idempotency: Whether its requests may run more than once.
-        deduplication_scope: For `KEYED`: which servers drop repeats.
-        deduplication_window_ms: For `KEYED`: for how long after the first attempt they do.
+        idempotency: Whether requests of the class may run more than once.
+        deduplication_scope: For `KEYED`: which servers form a deduplication group.
+        deduplication_window_ms: For `KEYED`: the time after the first attempt in which repeats are dropped.
     """
 
     name: str
@@ -78,10 +82,10 @@
     """A customer that shares the service with others.
 
     Attributes:
-        name: Its name, by which requests refer to it.
-        quota_fraction: The fraction of the service that it is entitled to.
-        quota_per_s: Its quota in requests per second, over all replicas; 0: no quota. Requests beyond it have
-            the fraction `Settings.over_quota_value_fraction` of their value.
+        name: The name by which requests refer to the tenant.
+        quota_fraction: The fraction of the service that the tenant is entitled to.
+        quota_per_s: The tenant's quota in requests per second, over all replicas; 0 means no quota. The value
+            of requests beyond the quota is multiplied by `Settings.over_quota_value_fraction`.
     """
 
     name: str
@@ -91,51 +95,52 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a replica knows when it starts.
+    """The settings of one replica, fixed when it starts.
 
     Attributes:
-        classes: All classes of requests; at least one.
+        classes: All request classes; at least one.
         tenants: The tenants that have a quota.
         over_quota_value_fraction: The fraction of its value that a request beyond its tenant's quota has.
-        worst_class_weight: The weight of the class that is served worst in the operators' score, relative to
-            the weight of all requests.
+        worst_class_weight: The weight, in the operators' score, of the class with the worst service, relative
+            to the weight of all requests.
         zone: The zone of this replica.
-        replicas: Number of replicas that send to the same tier.
-        replica_index: Index of this replica among them, from 0.
-        tier: The tier that this replica sends to; 0 is the clients' tier.
-        tiers: Number of tiers.
-        passes_deadline: Whether a server that calls the next tier passes on the time that remains for its own
+        replicas: The number of replicas that send to the same tier.
+        replica_index: The index of this replica among them, from 0.
+        tier: The tier of servers that this replica sends to. Tier 0 serves the clients' requests, and the
+            servers of each tier call the next one.
+        tiers: The number of tiers.
+        passes_deadline: Whether a server that calls the next tier passes on the remaining time of its own
             request. If not, such calls have the full deadline of their class.
-        requires_subscription: Whether updates of the endpoint list have to be subscribed to.
+        requires_subscription: Whether the replica has to subscribe to updates of the endpoint list.
         poll_interval_ms: The interval at which a replica without a subscription has to poll the endpoint
-            list. It counts as informed of changes that are older than this.
-        max_attempts: Maximum number of attempts for a request, the first included.
+            list. The replica is expected to know all changes that are older than this.
+        max_attempts: The maximum number of attempts for a request, including the first.
         parallel_attempts: Whether one request may have two attempts in flight. The node never uses this.
         can_cancel: Whether an attempt in flight may be cancelled.
-        max_retry_after_ms: The longest Retry-After that clients follow; 0: they follow none.
-        connect_timeout_ms: Timeout for a new connection.
-        keepalive_ms: Servers close a connection that has been idle for this time.
-        tick_ms: Events are delivered at most this often, so a timer may fire later by as much.
-        answer_slack_ms: For this time after the deadline a final answer still counts as given in time.
-        drain_grace_ms: For this time after a server was listed as draining or removed, attempts may still be
-            sent to it. The policy sends none from the moment that it knows.
-        start_capacity: The fraction of its full capacity with which a server starts.
+        max_retry_after_ms: The longest Retry-After that clients follow; 0 if they ignore it.
+        connect_timeout_ms: The timeout for a new connection.
+        keepalive_ms: The idle time after which servers close a connection.
+        tick_ms: The minimum interval between deliveries of events. A timer may fire late by this much.
+        answer_slack_ms: The time after the deadline in which a final answer still counts as in time.
+        drain_grace_ms: The time after a server is listed as draining or removed in which attempts may still
+            be sent to it. The policy stops sending as soon as it receives the update.
+        start_capacity: The fraction of its full capacity that a server has when it starts.
         ramp_time_ms: The time in which a server warms up to its full capacity.
-        overload_factor: A server that is warming up fails if, over `overload_window_ms`, it is sent more than
-            this multiple of its present capacity.
-        overload_window_ms: The time for which a server that is warming up bears an overload.
-        retry_budget_ratio: Retries allowed for each request received, over all classes; None: there is no
-            retry budget.
-        retry_budget_floor: Retries allowed beyond that in any window.
-        retry_budget_window_ms: Length of the windows that requests and retries are counted in.
+        overload_factor: A server that is warming up fails if it is sent more than this multiple of its
+            current capacity during `overload_window_ms`.
+        overload_window_ms: The time for which a server that is warming up tolerates an overload.
+        retry_budget_ratio: The number of retries allowed per request received, over all classes; None if
+            there is no retry budget.
+        retry_budget_floor: The number of retries allowed in any window in addition to that.
+        retry_budget_window_ms: The length of the windows in which requests and retries are counted.
         rejected_may_have_run: Whether an attempt may have run although its server rejected it.
-        cross_zone_price: Price of an attempt to another zone, by first attempt, as a fraction of the value of
-            the service.
-        handshake_price: Price of a new connection, by first attempt, as a fraction of the value of the
-            service.
+        cross_zone_price: The price of an attempt to another zone, relative to the number of first attempts,
+            as a fraction of the value of the service.
+        handshake_price: The price of a new connection, relative to the number of first attempts, as a
+            fraction of the value of the service.
 
     Raises:
-        InvalidSettingError: A value is impossible.
+        InvalidSettingError: A value is invalid.
     """
 
     classes: list[RequestClass]
@@ -171,7 +176,7 @@
     handshake_price: float = 0.0
 
     def __post_init__(self) -> None:
-        """Reject impossible settings."""
+        """Validate the settings."""
         self._check_classes()
         self._check_non_negative()
         self._check_objectives()
@@ -180,33 +185,34 @@
 
     def _check_classes(self) -> None:
         if not self.classes:
-            raise InvalidSettingError("classes", "at least one is needed")
-        if len({request_class.name for request_class in self.classes}) < len(self.classes):
-            raise InvalidSettingError("classes", "two have the same name")
+            raise InvalidSettingError("classes", "must have at least one entry, has none")
+        names = [request_class.name for request_class in self.classes]
+        if len(set(names)) < len(names):
+            raise InvalidSettingError("classes", f"must have distinct names, are {', '.join(names)}")
 
     def _check_non_negative(self) -> None:
         for name, value in self._non_negative_values().items():
             if not 0.0 <= value < math.inf:
-                raise InvalidSettingError(name, f"{value} is negative or not finite")
+                raise InvalidSettingError(name, f"must be finite and at least 0, is {value}")
 
     def _check_objectives(self) -> None:
         for request_class in self.classes:
             if not request_class.objective_ms:
                 name = f"classes[{request_class.name}].objective_ms"
-                raise InvalidSettingError(name, "must be above 0")
+                raise InvalidSettingError(name, f"must be above 0, is {request_class.objective_ms}")
 
     def _check_fractions(self) -> None:
         for name, value in self._fractions().items():
             if not 0.0 <= value <= 1.0:
-                raise InvalidSettingError(name, f"{value} is not within 0 to 1")
+                raise InvalidSettingError(name, f"must be between 0 and 1, is {value}")
 
     def _check_counts(self) -> None:
         for name, minimum in MINIMUM_COUNTS.items():
             if getattr(self, name) < minimum:
-                raise InvalidSettingError(name, f"{getattr(self, name)} is less than {minimum}")
+                raise InvalidSettingError(name, f"must be at least {minimum}, is {getattr(self, name)}")
 
     def _non_negative_values(self) -> dict[str, float]:
-        """Return the values that must be finite and not negative, by the name that an error gives them."""
+        """Return the values that must be finite and not negative, by their name in error messages."""
         values = _field_values(self, NON_NEGATIVE_SUFFIXES, NON_NEGATIVE_NAMES)
         for request_class in self.classes:
             values_of_class = _field_values(request_class, NON_NEGATIVE_SUFFIXES, {"priority_weight"})
@@ -218,7 +224,7 @@
         return values
 
     def _fractions(self) -> dict[str, float]:
-        """Return the values that must be within 0 to 1, by the name that an error gives them."""
+        """Return the values that must be between 0 and 1, by their name in error messages."""
         values = {
             "start_capacity": self.start_capacity,
             "over_quota_value_fraction": self.over_quota_value_fraction,
@@ -235,7 +241,7 @@
 def _field_values(
     owner: Settings | RequestClass, suffixes: tuple[str, ...], names: Set[str]
 ) -> dict[str, float]:
-    """Return the fields whose name ends with one of the suffixes, or is one of the names."""
+    """Return the values of the fields whose name has one of the suffixes or is one of the names."""
     return {
         field.name: getattr(owner, field.name)
         for field in fields(owner)
