--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 from tests.helpers import Replica, answers, sends, timers
 from workspond.policy import admission
 from workspond.policy.actions import SendAttempt, SetTimer
-from workspond.policy.concurrency_limit import INITIAL_PER_SERVER, concurrency_limit
+from workspond.policy.concurrency_limit import INITIAL_LIMIT_PER_SERVER, concurrency_limit
 from workspond.policy.events import Outcome, RequestAbandoned, TimerFired
 from workspond.policy.settings import Tenant
 
@@ -156,7 +156,7 @@
     for n in range(100):
         replica.receive(f"a{n}")
     first = list(replica.sent_to)
-    assert INITIAL_PER_SERVER * 4 * 0.8 <= len(first) <= INITIAL_PER_SERVER * 4
+    assert INITIAL_LIMIT_PER_SERVER * 4 * 0.8 <= len(first) <= INITIAL_LIMIT_PER_SERVER * 4
     for request_id in first[:10]:
         replica.end_attempt(request_id, Outcome.SUCCESS, 1.0)
     assert len(replica.sent_to) >= len(first) + 18  # each response admits two: in its own place, and one more
@@ -198,6 +198,7 @@
         replica.receive(f"f{n}")
         replica.end_attempt(f"f{n}", Outcome.CONNECT_FAILED, 100.0)
     assert (
-        concurrency_limit(replica.balancer.retry_controller, 4.0, replica.now_ms) == INITIAL_PER_SERVER * 4.0
+        concurrency_limit(replica.balancer.retry_controller, 4.0, replica.now_ms)
+        == INITIAL_LIMIT_PER_SERVER * 4.0
     )
     assert sends(replica.receive("later"))
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -5,9 +5,9 @@
 import pytest
 
 from workspond.policy.concurrency_limit import (
-    ADDED_PER_SERVER,
+    ADDED_ATTEMPTS_PER_SERVER,
     DELAY_OBJECTIVE_RATIO,
-    INITIAL_PER_SERVER,
+    INITIAL_LIMIT_PER_SERVER,
     concurrency_limit,
 )
 from workspond.policy.retry_controller import PHASE_MARGIN, RetryController
@@ -50,7 +50,7 @@
     assert controller.integral == pytest.approx(1.0)
     assert controller.allowed_rate == pytest.approx(1.0)
     controller.record_response(1300.0, 1000.0, 2000.0, is_success=True)
-    # The older sample has decayed by exp(-1/5), and two samples count as two of MIN_SAMPLES = 4:
+    # The older sample has decayed by exp(-1/5), and two samples count as two of MIN_DELAY_SAMPLES = 4:
     # e = (0.3 * 0.81873 - 0.9) / 4 = -0.16360. nu1 leaves its band (1 + exp(-1/5) = 1.8187 > 1.5:
     # retuned, the integral scaled along).
     rate, error = 1.0 + math.exp(-0.2), (0.3 * math.exp(-0.2) - 0.9) / 4.0
@@ -111,12 +111,12 @@
     """Otherwise requests are rejected in the first seconds, without any load."""
     controller = RetryController()
     for k in range(20):
-        assert concurrency_limit(controller, 4.0, 100.0 * k) == INITIAL_PER_SERVER * 4.0
+        assert concurrency_limit(controller, 4.0, 100.0 * k) == INITIAL_LIMIT_PER_SERVER * 4.0
     now_ms = 2000.0
     for _ in range(30):
         now_ms += 50.0
         controller.record_response(600.0, 4000.0, now_ms, is_success=True)
-    added = ADDED_PER_SERVER * 4.0
+    added = ADDED_ATTEMPTS_PER_SERVER * 4.0
     assert (
         concurrency_limit(controller, 4.0, now_ms) - added > 0.9 * 20 * DELAY_OBJECTIVE_RATIO * 4.0
     )  # nu1 = 20 / s, objective 4 s
@@ -146,5 +146,5 @@
             concurrency_limit(controller, 10.0, now_ms)
             - controller.response_rate.per_s() * DELAY_OBJECTIVE_RATIO
         )
-    added = ADDED_PER_SERVER * 10.0
+    added = ADDED_ATTEMPTS_PER_SERVER * 10.0
     assert added_by_delay == pytest.approx({400.0: added, 800.0: added / 2.0, 1600.0: added / 4.0})
--- a/workspond/policy/attempt_sender.py
+++ b/workspond/policy/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sends attempts: their timeouts, their connections, and the record of what is in flight at each server."""
+"""Sends attempts: sets their timeouts, chooses new connections, and records what is in flight."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from workspond.policy.call import Call
 from workspond.policy.idle_timeout import IdleTimeout
 from workspond.policy.request_statistics import TypicalDelay
-from workspond.policy.retry_controller import SAMPLES
+from workspond.policy.retry_controller import DELAY_SAMPLES
 from workspond.policy.retry_policy import RetryPolicy
 from workspond.policy.server import Server
 from workspond.policy.server_measurements import CallInFlight
@@ -15,7 +15,7 @@
 
 
 class AttemptSender:
-    """Turns a request and the server that was picked for it into the actions that send the attempt."""
+    """Returns the actions that send a request to the server that was picked for it."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._idle_timeout = idle_timeout
 
     def send(self, call: Call, server: Server, now_ms: float) -> list[PolicyAction]:
-        """Send an attempt that `SendGate` has let pass; returns the actions to take."""
+        """Record an attempt that `SendGate` has allowed, and return the actions that send it."""
         if call.attempts:
             self._retry_policy.count_retry(now_ms)
         call.attempts += 1
@@ -39,23 +39,23 @@
         call.sent_at_ms = now_ms
         call.connection_idle_ms = 0.0 if server.calls_in_flight else now_ms - server.last_used_at_ms
         actions: list[PolicyAction] = []
-        # An attempt on a connection that was dropped while idle is lost.
+        # After a long idle time the connections may have been dropped, and an attempt on one would be lost.
         if self._idle_timeout.is_exceeded(call.connection_idle_ms):
             actions.append(CloseIdleConnections(server.id))
             call.connection_idle_ms = 0.0
         server.calls_in_flight[call.id] = CallInFlight(now_ms, call.request_class.objective_ms)
         self._selector.update(server, now_ms)
-        actions.append(self._attempt(call, server, now_ms))
+        actions.append(self._send_action(call, server, now_ms))
         return actions
 
-    def _attempt(self, call: Call, server: Server, now_ms: float) -> SendAttempt:
+    def _send_action(self, call: Call, server: Server, now_ms: float) -> SendAttempt:
         timeout_ms = self._retry_policy.attempt_timeout_ms(
             call,
             call.deadline_at_ms - now_ms,
             self._typical_delay.objective_ratio,
-            is_delay_known=self._typical_delay.samples >= SAMPLES,
+            is_delay_known=self._typical_delay.samples >= DELAY_SAMPLES,
         )
         send_within_ms = self._retry_policy.repeat_deadline_at_ms(call) - now_ms
-        # The loss of a non-idempotent request on an idle connection could not be made good by a retry.
+        # A non-idempotent request that is lost on an idle connection could not be retried.
         new_connection = call.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         return SendAttempt(call.id, server.id, timeout_ms, new_connection, send_within_ms)
--- a/workspond/policy/outcome_recorder.py
+++ b/workspond/policy/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt says about its server, its connection, and the delay of the fleet."""
+"""Updates the measurements of servers, idle connections and delays with the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OutcomeRecorder:
-    """Passes each outcome on to what is measured."""
+    """Passes the outcome of each attempt on to the measurements that depend on it."""
 
     def __init__(
         self,
@@ -34,18 +34,18 @@
         """Record the outcome of an attempt.
 
         Args:
-            server: The server that is listed under the id that the attempt was sent to.
-            call: The request; None if it has ended before the attempt did.
+            server: The server that is now listed under the id to which the attempt was sent.
+            call: The request; None if it ended before the attempt did.
             event: How the attempt ended.
-            now_ms: The present moment.
+            now_ms: The current time.
         """
         in_flight = server.calls_in_flight.pop(event.request_id, None)
         server.last_used_at_ms = now_ms
         if call is not None and call.connection_idle_ms:
             self._record_idle_connection(call, event)
         if in_flight is None:
-            # The attempt was sent before the server restarted, or before it left the list and returned: it
-            # says nothing about the present process.
+            # The attempt was sent before the server restarted, or before it left the list and returned. So
+            # it says nothing about the current process.
             return
         if event.load_report:
             server.reported_queue = event.load_report.get("queue", 0.0)
@@ -56,16 +56,18 @@
         self._selector.update(server, now_ms)
 
     def _record_idle_connection(self, call: Call, event: AttemptEnded) -> None:
-        usual_ms = self._typical_delay.objective_ratio * call.request_class.objective_ms
-        self._idle_timeout.record_outcome(call.connection_idle_ms, event.outcome, event.duration_ms, usual_ms)
+        typical_ms = self._typical_delay.objective_ratio * call.request_class.objective_ms
+        self._idle_timeout.record_outcome(
+            call.connection_idle_ms, event.outcome, event.duration_ms, typical_ms
+        )
 
     def _record_delay(
         self, server: Server, in_flight: CallInFlight, event: AttemptEnded, now_ms: float
     ) -> None:
-        """Record the delay of an attempt, also if its request has been abandoned meanwhile.
+        """Record the delay of an attempt, even if its request has been abandoned.
 
-        Clients that disconnect early abandon the requests that take long: without these, delay and response
-        rate would come out low.
+        Clients that disconnect early abandon slow requests. Without these, the measured delay and response
+        rate would be too low.
         """
         sent_at_ms = in_flight.sent_at_ms
         objective_ms = in_flight.objective_ms
@@ -73,14 +75,15 @@
             is_success = event.outcome is Outcome.SUCCESS
             objective_ratio = event.duration_ms / objective_ms
             self._typical_delay.record(objective_ratio)
-            usual_ratio = self._typical_delay.objective_ratio
-            # A timeout of an attempt that later ones have overtaken says nothing about the server: it
-            # answers, so the connection of the attempt was lost or the request itself takes long.
-            if usual_ratio and (is_success or sent_at_ms >= server.latest_served_sent_at_ms):
-                server.record_latency(objective_ratio / usual_ratio, now_ms)
+            typical_ratio = self._typical_delay.objective_ratio
+            # A timeout says nothing about the server if the server has answered an attempt that was sent
+            # later. In that case the connection was lost, or the request itself takes long.
+            if typical_ratio and (is_success or sent_at_ms >= server.latest_served_sent_at_ms):
+                server.record_latency(objective_ratio / typical_ratio, now_ms)
             if is_success:
                 server.latest_served_sent_at_ms = max(server.latest_served_sent_at_ms, sent_at_ms)
             self._controller.record_response(event.duration_ms, objective_ms, now_ms, is_success=is_success)
         elif event.outcome is Outcome.REJECTED:
-            # A rejection comes fast, but the server is as slow as it gets: it counts as a full objective.
+            # A rejection arrives fast although the server is overloaded, so it counts as a delay of the
+            # whole latency objective.
             self._controller.record_response(objective_ms, objective_ms, now_ms, is_success=False)
--- a/workspond/policy/request_queue.py
+++ b/workspond/policy/request_queue.py
@@ -1,6 +1,6 @@
-"""Requests that wait for capacity below the concurrency limit, in order of priority.
+"""The queue of requests that wait because the concurrency limit is reached, in order of priority.
 
-The paper names no queue; this is an addition.
+The queue is an addition to the paper.
 """
 
 from __future__ import annotations
@@ -11,39 +11,42 @@
 
 from workspond.policy.call import Call
 
-# How long a request may wait, as a fraction of its latency objective. It is short in the clients' tier (0);
-# in the tiers behind it, giving a request up wastes the work that was done for it before.
+# The maximum wait of a request, as a fraction of its latency objective. It is longer in the later tiers
+# because giving up a request there wastes the work already done for it in the earlier tiers.
 MAX_WAIT_FRACTION_FIRST_TIER = 0.08
 MAX_WAIT_FRACTION_LATER_TIERS = 0.5
 
 
-class Priority(Protocol):
-    """Returns the priority of the requests of a class that are within their tenants' quota, or over it."""
+class PriorityFunction(Protocol):
+    """A function that returns the priority of requests by their class and by whether they are over quota."""
 
     def __call__(self, class_name: str, *, over_quota: bool) -> float:
-        """Return the priority; a higher one goes first."""
+        """Return the priority; requests of higher priority are sent first."""
 
 
 class RequestQueue:
-    """One first-in, first-out queue for each class, and a second one for its requests over quota."""
+    """Two first-in, first-out queues per class: one for requests within quota, one for those over quota."""
 
     def __init__(self, tier: int) -> None:
-        """`tier` is the tier that this replica sends to, 0 being the clients' first."""
+        """`tier` is the tier that this replica sends to; 0 is the tier that serves the clients."""
         self._max_wait_fraction = MAX_WAIT_FRACTION_LATER_TIERS if tier else MAX_WAIT_FRACTION_FIRST_TIER
-        self._queues: dict[tuple[str, bool], deque[Call]] = {}  # by name of the class, and whether over quota
+        self._queues: dict[tuple[str, bool], deque[Call]] = {}  # by class name and whether over quota
 
     def queue_deadline_at_ms(self, call: Call) -> float:
-        """Until when a request may wait, so that an answer within its objective is still possible."""
+        """Return when a request has to leave the queue.
+
+        This is early enough for an answer within the latency objective.
+        """
         max_wait_ms = self._max_wait_fraction * call.request_class.objective_ms
         return min(call.arrived_at_ms + max_wait_ms, call.deadline_at_ms)
 
     def add(self, call: Call) -> None:
-        """Append a request to its queue."""
+        """Append a request to the queue of its class."""
         call.is_queued = True
         self._queues.setdefault((call.request_class.name, call.over_quota), deque()).append(call)
 
-    def by_priority(self, priority: Priority) -> Iterator[deque[Call]]:
-        """Yield the queues that are not empty, that of the highest priority first."""
+    def by_priority(self, priority: PriorityFunction) -> Iterator[deque[Call]]:
+        """Yield the queues that are not empty, in descending order of priority."""
         if not self._queues:
             return
         priorities = {
--- a/workspond/policy/request_timers.py
+++ b/workspond/policy/request_timers.py
@@ -1,18 +1,19 @@
-"""The timers that requests wait for."""
+"""The timers for queued requests and for requests in backoff."""
 
 from __future__ import annotations
 
 from workspond.policy.actions import SetTimer
 from workspond.policy.call import Call
 
-SUBSCRIPTION_TOKEN = 0  # token of the timer that subscribes again; those of requests follow from 1
+# The token of the timer after which the node subscribes again. The tokens of request timers start at 1.
+SUBSCRIPTION_TOKEN = 0
 
 
 class RequestTimers:
-    """Sets timers for requests, and finds the request that a timer was set for.
+    """Sets timers for requests, and finds the request for which a timer was set.
 
     Attributes:
-        last_token: The token of the last timer that was set.
+        last_token: The token of the timer that was set last.
     """
 
     def __init__(self) -> None:
@@ -20,13 +21,13 @@
         self.last_token = SUBSCRIPTION_TOKEN
 
     def set(self, call: Call, delay_ms: float) -> SetTimer:
-        """Set the timer that the request waits for; it replaces the previous one of the request, if any."""
+        """Return the action that sets a timer for the request; it replaces the request's previous timer."""
         self.last_token += 1
         call.timer_token = self.last_token
         self._calls[self.last_token] = call
         return SetTimer(self.last_token, delay_ms)
 
     def take_fired(self, token: int) -> Call | None:
-        """Return the request that waits for the timer that has fired; None if none waits for it any more."""
+        """Return the request that waits for the timer with this token; None if no request waits for it."""
         call = self._calls.pop(token, None)
         return call if call is not None and call.timer_token == token else None
--- a/workspond/policy/send_gate.py
+++ b/workspond/policy/send_gate.py
@@ -1,7 +1,7 @@
-"""The checks that each attempt passes before it is sent.
+"""The checks of the operating rules before each attempt is sent.
 
-They enforce the rules of the protocol page, which docs/glossary.md lists. The node checks the rules a second
-time, with records of its own, when it writes the attempt to its connection (`workspond.upstream.send_guard`).
+docs/glossary.md lists the rules. The node checks them a second time, with independent records, when it writes
+the attempt to a connection (`workspond.upstream.send_guard`).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class SendGate:
-    """Decides whether the rules let a request be sent to a server now."""
+    """Decides whether the rules allow a request to be sent to a server now."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         fleet: Fleet,
         slow_start: SlowStart,
     ) -> None:
-        """`open_requests` holds the ids of the requests that have no final answer yet."""
+        """`open_requests` contains the ids of the requests that have no final answer yet."""
         self._tick_ms = settings.tick_ms
         self._max_attempts = settings.max_attempts
         self._open_requests = open_requests
@@ -36,7 +36,10 @@
         self._slow_start = slow_start
 
     def may_send(self, call: Call, server: Server, now_ms: float) -> bool:
-        """Whether the attempt may be sent; if so, it is taken from the budget of a server that warms up."""
+        """Return whether the attempt may be sent.
+
+        If it may, and the server is warming up, a token is taken from the server's budget.
+        """
         return (
             self._can_be_answered(call, now_ms)
             and self._may_run_on(call, server, now_ms)
@@ -46,7 +49,7 @@
         )
 
     def _can_be_answered(self, call: Call, now_ms: float) -> bool:
-        """Rule 1: the request has no final answer yet, no attempt in flight, and time left."""
+        """Check rule 1: the request has no final answer yet, no attempt in flight, and time left."""
         return (
             call.id in self._open_requests
             and not call.attempt_in_flight
@@ -54,7 +57,10 @@
         )
 
     def _may_run_on(self, call: Call, server: Server, now_ms: float) -> bool:
-        """Rule 2: one more attempt is allowed, and the server drops it if an earlier one may have run."""
+        """Check rule 2: another attempt is allowed and cannot cause a duplicate run.
+
+        If an earlier attempt may have run, the server has to be in the same deduplication group.
+        """
         if call.attempts >= self._max_attempts:
             return False
         if call.first_possible_run_at_ms is None:
@@ -63,15 +69,15 @@
         return group == call.deduplication_group and self._retry_policy.may_be_repeated(call, now_ms)
 
     def _is_in_service(self, server: Server) -> bool:
-        """Rule 3: the server is listed, still as the same process, and does not drain."""
+        """Check rule 3: the server is listed, is still the same process, and is not draining."""
         return server.in_service and self._fleet.is_current(server)
 
     def _within_retry_budget(self, call: Call, now_ms: float) -> bool:
-        """Rule 5: a retry stays within the retry budget, if the settings state one."""
+        """Check rule 5: a retry is within the retry budget, if the settings define one."""
         return not call.attempts or self._retry_policy.within_retry_budget(now_ms)
 
     def _take_from_cold_budget(self, server: Server, now_ms: float) -> bool:
-        """Rule 4: a server that is warming up gets no more than its token bucket allows."""
+        """Check rule 4: a server that is warming up gets no more than its token bucket allows."""
         capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
         if capacity_fraction >= 1.0:
             return True
--- a/workspond/policy/token_bucket.py
+++ b/workspond/policy/token_bucket.py
@@ -1,19 +1,19 @@
-"""A token bucket. Its rate and size are passed with each call, as they change over time."""
+"""A token bucket whose rate and size may change over time, so they are passed with each call."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Tokens that accrue at a rate, up to a limit.
+    """Tokens that accrue at a given rate, up to a limit.
 
     Attributes:
-        tokens: The tokens available as of the last refill.
+        tokens: The number of tokens available after the last refill.
     """
 
     __slots__ = ("_refilled_at_ms", "tokens")
 
     def __init__(self, tokens: float, now_ms: float) -> None:
-        """Start with `tokens` tokens at `now_ms`."""
+        """Create a bucket that holds `tokens` tokens at `now_ms`."""
         self.tokens = tokens
         self._refilled_at_ms = now_ms
 
@@ -21,12 +21,12 @@
         """Add the tokens that accrued since the last refill.
 
         Args:
-            rate_per_ms: Tokens per millisecond.
-            max_tokens: The bucket holds no more than this.
-            now_ms: The present moment.
+            rate_per_ms: The number of tokens that accrue per millisecond.
+            max_tokens: The size of the bucket.
+            now_ms: The current time.
 
         Returns:
-            The tokens available now.
+            The number of tokens available now.
         """
         self.tokens = min(max_tokens, self.tokens + rate_per_ms * (now_ms - self._refilled_at_ms))
         self._refilled_at_ms = now_ms
