--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Shared set-ups: settings, endpoint lists, and a driver that plays the node's part for a balancer."""
+"""Shared helpers: settings, endpoint lists, and a driver that takes the place of the node for a balancer."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings with one class of each kind, and the given changes."""
+    """Return settings with a class for each kind of idempotency, with `changes` applied to the fields."""
     defaults: dict[str, Any] = {
         "classes": [IDEMPOTENT, KEYED, KEYED_ALL, NON_IDEMPOTENT],
         "max_attempts": 3,
@@ -44,22 +44,22 @@
 
 
 def endpoints(server_ids: Iterable[int], **changes: Any) -> list[Endpoint]:
-    """Endpoints of one zone, in two cells."""
+    """Return endpoints in one zone and two cells: servers with even ids, and servers with odd ids."""
     return [Endpoint(server_id, "z", "k", server_id % 2, **changes) for server_id in server_ids]
 
 
 class Replica:
-    """A balancer with a clock, which records what the balancer does.
+    """Drives a balancer with a simulated clock, and records the balancer's actions.
 
     Attributes:
         balancer: The balancer.
-        now_ms: The clock; tests may advance it.
-        actions: All actions so far, with the moment of each.
-        sent_to: The servers that each request was sent to, one for each attempt.
+        now_ms: The simulated time, which tests may advance.
+        actions: All actions so far, each with its time.
+        sent_to: The ids of the servers that each request was sent to, one per attempt, by request id.
     """
 
     def __init__(self, servers: int = 4, salt: int = 1, **changes: Any) -> None:
-        """Start with so many servers, and with changes to the settings."""
+        """Start a balancer with `servers` listed servers and with `changes` to the settings."""
         self.balancer = Balancer(settings(**changes), salt)
         self.now_ms = 1000.0
         self.actions: list[tuple[float, PolicyAction]] = []
@@ -68,7 +68,7 @@
         self.replace_endpoints(endpoints(range(servers)))
 
     def handle(self, event: PolicyEvent, after_ms: float = 0.0) -> list[PolicyAction]:
-        """Let the balancer handle an event."""
+        """Advance the time, let the balancer handle an event, and return its actions."""
         self.now_ms += after_ms
         actions = self.balancer.handle(event, self.now_ms)
         for action in actions:
@@ -82,7 +82,7 @@
         return self.handle(EndpointUpdate(UpdateKind.COMPLETE, version, servers))
 
     def update_endpoints(self, *servers: Endpoint) -> list[PolicyAction]:
-        """Deliver an incremental update."""
+        """Deliver an incremental update of the endpoint list."""
         return self.handle(EndpointUpdate(UpdateKind.INCREMENTAL, 2, list(servers)))
 
     def receive(
@@ -92,7 +92,7 @@
         ttl_ms: float = 3000.0,
         tenant: str | None = None,
     ) -> list[PolicyAction]:
-        """Let a request arrive."""
+        """Deliver a new request."""
         return self.handle(RequestReceived(request_id, class_name, ttl_ms, tenant))
 
     def end_attempt(
@@ -102,17 +102,19 @@
         after_ms: float = 50.0,
         request_finished: bool | None = None,
     ) -> list[PolicyAction]:
-        """End the last attempt of a request; a success finishes the request, if not said otherwise."""
+        """End the last attempt of a request; unless given, a success finishes the request."""
         self.now_ms += after_ms
-        number = len(self.sent_to[request_id]) - 1
-        server_id = self.sent_to[request_id][number]
+        attempt_number = len(self.sent_to[request_id]) - 1
+        server_id = self.sent_to[request_id][attempt_number]
         is_finished = outcome is Outcome.SUCCESS if request_finished is None else request_finished
-        return self.handle(AttemptEnded(request_id, number, server_id, outcome, after_ms, is_finished))
+        return self.handle(
+            AttemptEnded(request_id, attempt_number, server_id, outcome, after_ms, is_finished)
+        )
 
     def serve(
         self, count: int, class_name: str = "idempotent", gap_ms: float = 10.0, delay_ms: float = 50.0
     ) -> list[int]:
-        """Let requests arrive and succeed one after another; the servers that were picked."""
+        """Deliver requests that succeed one after another, and return the ids of their servers."""
         picked = []
         for index in range(count):
             request_id = f"serve-{self.now_ms}-{index}"
@@ -132,11 +134,11 @@
 
 
 def answers(actions: list[PolicyAction]) -> list[PolicyAction]:
-    """The final answers that the balancer gives itself."""
+    """Return the rejections and failures, with which the balancer itself ends requests."""
     return [action for action in actions if isinstance(action, FailRequest | RejectRequest)]
 
 
-def passes_gate(replica: Replica, request_id: str, server: int) -> bool:
-    """Send through the gate directly, as new code that forgets a rule would."""
+def try_send(replica: Replica, request_id: str, server_id: int) -> bool:
+    """Send a request to a given server through the send gate only, and return whether it was sent."""
     balancer = replica.balancer
-    return balancer._send(balancer._calls[request_id], balancer.fleet.servers[server], replica.now_ms)
+    return balancer._send(balancer._calls[request_id], balancer.fleet.servers[server_id], replica.now_ms)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Which idle connections are closed before use."""
+"""When idle connections are closed instead of being reused."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from workspond.policy.events import Outcome
 
 
-def test_idle_connections_are_closed_after_two_losses_on_such() -> None:
-    """Connections that were dropped while idle answer nothing, at all servers alike."""
+def test_two_timeouts_on_idle_connections_close_idle_connections() -> None:
+    """Attempts on connections that were dropped while idle time out, at any server."""
     replica = Replica(servers=4, tier=1)
     replica.serve(40)
 
-    def idle_send(request_id: str) -> list[PolicyAction]:
+    def receive_after_idle_time(request_id: str) -> list[PolicyAction]:
         replica.now_ms += 3000.0
         return replica.receive(request_id)
 
     for n in range(2):
-        assert not [a for a in idle_send(f"l{n}") if isinstance(a, CloseIdleConnections)]
+        assert not [a for a in receive_after_idle_time(f"l{n}") if isinstance(a, CloseIdleConnections)]
         replica.end_attempt(f"l{n}", Outcome.TIMEOUT, 500.0)
-    actions = idle_send("later")
+    actions = receive_after_idle_time("later")
     assert isinstance(actions[0], CloseIdleConnections) and isinstance(actions[1], SendAttempt)
     assert actions[0].server_id == actions[1].server_id
 
 
-def test_one_loss_on_an_idle_connection_closes_nothing() -> None:
-    """Otherwise each timeout causes new connections, which cost servers work."""
+def test_one_timeout_on_an_idle_connection_closes_nothing() -> None:
+    """If each timeout led to new connections, they would cost the servers work."""
     replica = Replica(servers=1, tier=1)
     replica.serve(10)
     for n, outcome in enumerate([Outcome.TIMEOUT, Outcome.SUCCESS, Outcome.TIMEOUT, Outcome.SUCCESS]):
@@ -34,8 +34,8 @@
         replica.end_attempt(f"{n}", outcome, 500.0)
 
 
-def test_losses_on_connections_in_use_lately_close_nothing() -> None:
-    """A timeout after a short idle time shows a slow request, not a dropped connection."""
+def test_timeouts_after_a_short_idle_time_close_nothing() -> None:
+    """Such timeouts indicate slow requests, not dropped connections."""
     replica = Replica(servers=4, keepalive_ms=60_000.0)
     replica.serve(40)
     for n in range(4):
@@ -44,8 +44,8 @@
         replica.end_attempt(f"l{n}", Outcome.TIMEOUT, 500.0)
 
 
-def test_a_reset_at_once_on_an_idled_connection_closes_such_before_use() -> None:
-    """Some of the connections may be closed after a short idle time, and each costs a request an attempt."""
+def test_two_fast_resets_on_idle_connections_close_idle_connections() -> None:
+    """Some connections may be dropped after a short idle time, and each of them costs an attempt."""
     replica = Replica(servers=1)
     replica.serve(40)
     for n, outcome in enumerate([Outcome.RESET, Outcome.SUCCESS, Outcome.SUCCESS, Outcome.RESET]):
@@ -57,7 +57,8 @@
     assert isinstance(actions[0], CloseIdleConnections) and isinstance(actions[1], SendAttempt)
 
 
-def test_a_reset_of_a_call_in_work_says_nothing_of_idling() -> None:
+def test_slow_resets_after_a_short_idle_time_close_nothing() -> None:
+    """These attempts were lost while a server processed them, not because of a dropped connection."""
     replica = Replica(servers=1)
     replica.serve(40)
     for n in range(4):
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of servers, and what the policy does with them."""
+"""Parsing of servers' load reports, and their use by the policy."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from workspond.upstream.load_report import parse_load_report
 
 
-def test_huge_figures_in_a_report_are_cut() -> None:
-    """A queue of 1e300, raised to the third power, once stopped every selection."""
+def test_huge_value_in_a_load_report_is_clamped() -> None:
+    """The selection raises the queue to the third power. A queue of 1e300 made every selection fail."""
     report = parse_load_report(b"queue=1e300")
     assert report == {"queue": 1e6}
     settings = Settings([RequestClass("read", 1000.0, 3000.0, idempotency=Idempotency.IDEMPOTENT)])
@@ -25,7 +25,7 @@
         balancer.handle(AttemptEnded(request_id, 0, 7, Outcome.SUCCESS, 5.0, True, report), 6.0)
 
 
-def test_a_report_is_read_and_negative_figures_count_as_0() -> None:
+def test_negative_value_in_a_load_report_counts_as_0() -> None:
     assert parse_load_report(b"inflight=7,queue=-2, util=0.61") == {
         "inflight": 7.0,
         "queue": 0.0,
@@ -36,5 +36,5 @@
 @pytest.mark.parametrize(
     "text", [b"", b"queue", b"queue=1=2", b"queue=x", b"queue=nan", b"queue=inf", b"\xff=1"]
 )
-def test_a_report_that_cannot_be_read_counts_as_none(text: bytes) -> None:
+def test_malformed_load_report_is_ignored(text: bytes) -> None:
     assert parse_load_report(text) is None
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences: the six rules hold on every action, and the checker sees breaks."""
+"""Random sequences of valid events: every action follows the operating rules, or the checker reports it."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class Environment:
-    """Clients, servers and discovery of one balancer; checks each of its actions."""
+    """Simulates the clients, servers and discovery of one balancer, and checks each of its actions."""
 
     def __init__(self, seed: int, **changes: Any) -> None:
         self.rng = random.Random(seed)
@@ -64,10 +64,11 @@
         self.balancer = Balancer(self.settings, seed)
         self.checker = Checker(self.settings)
         self.now_ms = 0.0
-        self.scheduled: list[tuple[float, int, TimerFired | str]] = []  # timers, and deadlines by request
+        # A heap of timers and of requests' deadlines: the time, a serial number, and the event or request id.
+        self.scheduled: list[tuple[float, int, TimerFired | str]] = []
         self.scheduled_count = 0
         self.requests: dict[str, PendingRequest] = {}
-        self.sends: list[tuple[float, int]] = []  # when, and to which server
+        self.sends: list[tuple[float, int]] = []  # time and server id of each attempt
         self.deliver(NodeStarted())
         self.update_endpoints([self.endpoint(n) for n in range(self.rng.randrange(7))])
 
@@ -78,17 +79,17 @@
     def update_endpoints(self, listed: list[Endpoint], kind: UpdateKind = UpdateKind.COMPLETE) -> None:
         self.deliver(EndpointUpdate(kind, 1, listed))
 
-    def schedule(self, at_ms: float, what: TimerFired | str) -> None:
+    def schedule(self, at_ms: float, timer_or_request_id: TimerFired | str) -> None:
         self.scheduled_count += 1
-        heapq.heappush(self.scheduled, (at_ms, self.scheduled_count, what))
+        heapq.heappush(self.scheduled, (at_ms, self.scheduled_count, timer_or_request_id))
 
     def deliver(self, event: PolicyEvent) -> None:
-        self.checker.event(event, self.now_ms)
+        self.checker.record_event(event, self.now_ms)
         for action in self.balancer.handle(event, self.now_ms):
             self.carry_out(action)
 
     def carry_out(self, action: PolicyAction) -> None:
-        self.checker.action(action, self.now_ms)
+        self.checker.check_action(action, self.now_ms)
         if isinstance(action, SetTimer):
             assert action.delay_ms >= 0.0
             self.schedule(self.now_ms + action.delay_ms, TimerFired(action.token))
@@ -110,22 +111,24 @@
         is_finished = bool(request.answers) or outcome is Outcome.SUCCESS
         if outcome is Outcome.SUCCESS and not request.answers:
             request.answers += 1
-        number = len(request.attempts) - 1
+        attempt_number = len(request.attempts) - 1
         duration_ms = self.now_ms - attempt.sent_at_ms
-        self.deliver(AttemptEnded(request_id, number, attempt.server_id, outcome, duration_ms, is_finished))
+        self.deliver(
+            AttemptEnded(request_id, attempt_number, attempt.server_id, outcome, duration_ms, is_finished)
+        )
 
-    def in_flight(self) -> list[str]:
+    def requests_in_flight(self) -> list[str]:
         return [request_id for request_id, request in self.requests.items() if request.in_flight]
 
     def advance(self, step_ms: float) -> None:
         target_ms = self.now_ms + step_ms
         while self.scheduled and self.scheduled[0][0] <= target_ms:
-            at_ms, _, what = heapq.heappop(self.scheduled)
+            at_ms, _, timer_or_request_id = heapq.heappop(self.scheduled)
             self.now_ms = max(self.now_ms, at_ms)
-            if isinstance(what, TimerFired):
-                self.deliver(what)
+            if isinstance(timer_or_request_id, TimerFired):
+                self.deliver(timer_or_request_id)
             else:
-                self.reach_deadline(what)
+                self.reach_deadline(timer_or_request_id)
         self.now_ms = target_ms
 
     def reach_deadline(self, request_id: str) -> None:
@@ -133,7 +136,7 @@
         if request.answers:
             return
         if not request.in_flight:
-            raise RuleBrokenError("rule 1: a request was lost")
+            raise RuleBrokenError("rule 1: a request got no final answer")
         self.end_attempt(request_id, Outcome.TIMEOUT)
         assert self.requests[request_id].answers == 1
 
@@ -142,8 +145,8 @@
         if choice < 0.35:
             request_class = self.rng.choice(self.settings.classes)
             self.receive(f"r{number}", request_class, self.rng.choice([1.0, 50.0, 700.0, 3000.0]))
-        elif choice < 0.7 and self.in_flight():
-            request_id = self.rng.choice(self.in_flight())
+        elif choice < 0.7 and self.requests_in_flight():
+            request_id = self.rng.choice(self.requests_in_flight())
             self.end_attempt(request_id, self.rng.choices(OUTCOMES, OUTCOME_WEIGHTS)[0])
         elif choice < 0.75:
             server_id = self.rng.randrange(8)
@@ -161,30 +164,32 @@
 
 
 def run_random_events(seed: int, **changes: Any) -> None:
-    """Deliver random legal events, until each request must have been answered."""
+    """Deliver random valid events, and check that each request has been answered after its deadline."""
     environment = Environment(seed, **changes)
     for number in range(150):
         environment.step(number)
     environment.advance(20_000.0)
-    environment.checker.end()
+    environment.checker.check_all_finished()
 
 
 @hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.booleans(), st.booleans())
-def test_rules_hold_on_random_days(seed: int, attempts: int, tier: int, budget: bool, full: bool) -> None:
-    extra = RETRY_BUDGET if budget else {}
+def test_rules_hold_for_random_events(
+    seed: int, max_attempts: int, tier: int, has_retry_budget: bool, rejected_may_have_run: bool
+) -> None:
+    retry_budget = RETRY_BUDGET if has_retry_budget else {}
     run_random_events(
         seed,
-        max_attempts=attempts,
+        max_attempts=max_attempts,
         tier=tier,
         requires_subscription=bool(seed % 2),
-        rejected_may_have_run=full,
-        **extra,
+        rejected_may_have_run=rejected_may_have_run,
+        **retry_budget,
     )
 
 
 def first_violation(**changes: Any) -> str:
-    """The first rule that is broken in a number of random runs; "none" if none is."""
+    """Return the message of the first broken rule in 60 random runs; "none" if no rule is broken."""
     for seed in range(60):
         try:
             run_random_events(seed, **({"max_attempts": 4} | changes))
@@ -193,8 +198,8 @@
     return "none"
 
 
-def test_the_checker_catches_broken_modules(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each fault is one that a careless change could introduce; without a fault nothing is reported."""
+def test_checker_detects_faults_in_the_policy(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each fault is one that a careless change could introduce. Without a fault, no rule is broken."""
     assert first_violation(**RETRY_BUDGET, rejected_may_have_run=True) == "none"
 
     def always(*_: object) -> bool:
@@ -221,7 +226,7 @@
         assert first_violation(drain_grace_ms=0.0).startswith("rule 3")
 
     class TrustsRejections(RetryPolicy):
-        """Takes a rejection for a proof that the attempt never ran, whatever the settings say."""
+        """Assumes that a rejected attempt never ran, regardless of the settings."""
 
         def may_have_run(self, outcome: Outcome) -> bool:
             return outcome not in NEVER_RAN_OUTCOMES
@@ -232,32 +237,32 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_burst_onto_cold_servers_stays_in_budget(seed: int) -> None:
-    """Two servers join, then a burst comes: each is sent less than the allowed multiple of its capacity."""
+def test_burst_on_servers_that_are_warming_up_stays_within_the_overload_factor(seed: int) -> None:
+    """Two servers join before a burst. Each gets at most the allowed multiple of its current capacity."""
     environment = Environment(seed, tier=1)
     environment.update_endpoints([Endpoint(n) for n in range(4)])
     idempotent = environment.settings.classes[0]
 
-    def load(seconds: float, gap_ms: float, phase: int) -> None:
+    def send_load(seconds: float, gap_ms: float, phase: int) -> None:
         for k in range(int(seconds * 1000 / gap_ms)):
             request_id = f"{phase}-{k}"
             environment.requests[request_id] = PendingRequest(idempotent, environment.now_ms + 3000.0)
             environment.deliver(RequestReceived(request_id, idempotent.name, 3000.0))
             environment.advance(gap_ms)
-            for other in environment.in_flight():
+            for other in environment.requests_in_flight():
                 if environment.now_ms - environment.requests[other].attempts[-1].sent_at_ms >= 30.0:
                     environment.end_attempt(other, Outcome.SUCCESS)
 
-    load(20, 10.0, 0)
-    rate_per_s = 100.0 / 4  # to a server that has warmed up
+    send_load(20, 10.0, 0)
+    warm_rate_per_s = 100.0 / 4  # requests to each of the four warm servers
     started_at_ms = environment.now_ms
     warming_up = [Endpoint(n, started_at_ms=started_at_ms) for n in (8, 9)]
     environment.update_endpoints([Endpoint(n) for n in range(4)] + warming_up)
-    load(3, 4.0, 1)
+    send_load(3, 4.0, 1)
     for server_id in (8, 9):
-        times_ms = [at_ms for at_ms, to in environment.sends if to == server_id]
-        assert times_ms, "a server that is warming up gets something"
+        times_ms = [at_ms for at_ms, sent_to in environment.sends if sent_to == server_id]
+        assert times_ms, f"server {server_id}, which is warming up, got no attempts"
         for start_ms in times_ms:
             sent = sum(start_ms <= at_ms < start_ms + 1000.0 for at_ms in times_ms)
             capacity_fraction = 0.25 + 0.75 * (start_ms - started_at_ms) / 8000.0
-            assert sent <= 3.0 * rate_per_s * capacity_fraction
+            assert sent <= 3.0 * warm_rate_per_s * capacity_fraction
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""When requests are retried, and the timeouts of their attempts."""
+"""Retries of requests, their backoff, and the timeouts of attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from workspond.policy.settings import Idempotency, RequestClass
 
 
-def test_a_failed_attempt_waits_then_goes_elsewhere() -> None:
+def test_failed_attempt_is_retried_on_another_server_after_a_backoff() -> None:
     replica = Replica()
     replica.receive("a")
     [timer] = timers(replica.end_attempt("a", Outcome.ERROR))
@@ -19,8 +19,8 @@
     assert send.server_id != replica.sent_to["a"][0]
 
 
-def test_back_off_doubles_with_jitter() -> None:
-    # Without jitter, replicas retry in step after a common stall.
+def test_backoff_doubles_and_has_jitter() -> None:
+    # Without jitter, all replicas would retry at the same time after a common stall.
     firsts, seconds = [], []
     for salt in range(200):
         replica = Replica(salt=salt)
@@ -34,11 +34,11 @@
     assert max(firsts) > 2.0 * min(firsts)
 
 
-def test_an_attempt_is_not_waited_for_much_longer_than_usual() -> None:
-    """Attempts to lost servers must not wait for the whole deadline and fill the tier above."""
+def test_attempt_times_out_after_a_multiple_of_the_typical_delay() -> None:
+    """Attempts to unreachable servers must not wait until the deadline and occupy the previous tier."""
     replica = Replica(servers=4, tier=1, passes_deadline=False)
     (early,) = sends(replica.receive("early"))
-    assert early.timeout_ms > 2000.0  # the usual delay is not known yet
+    assert early.timeout_ms > 2000.0  # the typical delay is not known yet
     replica.end_attempt("early", Outcome.SUCCESS)
     replica.serve(100, delay_ms=50.0)
     (send,) = sends(replica.receive("lost"))
@@ -47,7 +47,7 @@
     assert other.timeout_ms < 100.0
 
 
-def test_an_attempt_is_not_given_up_before_its_retry_could_go_out() -> None:
+def test_timeout_is_at_least_the_backoff() -> None:
     """A multiple of a tiny delay is less than the event loop's jitter, and the retry waits anyway."""
     replica = Replica()
     replica.serve(40, delay_ms=0.1)
@@ -59,12 +59,12 @@
     assert second.timeout_ms == pytest.approx(2.0 * backoff_ms)
 
 
-def test_a_time_out_has_waited_for_its_retry_already() -> None:
-    """Otherwise a request that was lost on a dropped connection is retried only after its objective."""
+def test_time_until_a_timeout_counts_towards_the_backoff() -> None:
+    """If it did not, a request lost on a dropped connection would be retried only after its objective."""
     replica = Replica(servers=4)
     replica.serve(100)
     [first] = sends(replica.receive("a"))
-    assert 0.0 < first.timeout_ms < 300.0  # a multiple of the usual 50
+    assert 0.0 < first.timeout_ms < 300.0  # a multiple of the typical delay of 50 ms
     [timer] = timers(replica.end_attempt("a", Outcome.TIMEOUT, first.timeout_ms))
     assert timer.delay_ms == 0.0
     [second] = sends(replica.handle(TimerFired(timer.token)))
@@ -73,42 +73,42 @@
     assert timer.delay_ms > 0.0
 
 
-def test_where_all_is_slow_a_first_attempt_is_not_cut_for_a_second_that_comes_too_late() -> None:
-    """In a slow tier the second attempt meets the same delay, or the concurrency limit."""
+def test_first_attempt_in_a_slow_tier_does_not_time_out_early() -> None:
+    """A second attempt would come too late: it meets the same delay, or the concurrency limit."""
     replica = Replica(servers=4)
     replica.serve(100, delay_ms=350.0)
     [first] = sends(replica.receive("a"))
     assert first.timeout_ms > 1.5 * 4.0 * 350.0
 
 
-def test_no_further_attempt_where_its_answer_can_not_come_any_more() -> None:
-    # An attempt in the last of the time left, after a timeout that used up the rest, is wasted work.
+def test_request_is_not_retried_if_the_answer_would_miss_the_deadline() -> None:
+    # An attempt that is sent just before the deadline, after a long timeout, is wasted work.
     replica = Replica()
     replica.serve(60, delay_ms=100.0)
     replica.receive("a", ttl_ms=300.0)
     actions = replica.end_attempt("a", Outcome.TIMEOUT, 285.0)
     assert not timers(actions) and len(answers(actions)) == 1
-    replica.receive("b", ttl_ms=600.0)  # with time left for it, a retry is still sent
+    replica.receive("b", ttl_ms=600.0)  # with enough time left, the request is retried
     assert timers(replica.end_attempt("b", Outcome.ERROR, 10.0))
 
 
-def test_a_first_retry_waits_little_of_the_aim() -> None:
-    """The waits of all tiers add up, and occupy the tiers above."""
-    waits = []
+def test_first_backoff_is_short_compared_to_the_objective() -> None:
+    """The backoffs of all tiers add up, and occupy the previous tiers."""
+    backoffs_ms = []
     for salt in range(50):
         replica = Replica(salt=salt)
         replica.receive("a")
         [timer] = timers(replica.end_attempt("a", Outcome.RESET, 1.0))
-        waits.append(timer.delay_ms)
-    assert max(waits) <= 0.1 * 1000.0
+        backoffs_ms.append(timer.delay_ms)
+    assert max(backoffs_ms) <= 0.1 * 1000.0
 
 
 @pytest.mark.parametrize(("late_value_fraction", "is_retried"), [(0.0, False), (0.5, True)])
-def test_no_further_attempt_whose_answer_could_only_be_worthless(
+def test_request_is_retried_after_its_objective_only_if_late_answers_have_value(
     late_value_fraction: float, is_retried: bool
 ) -> None:
-    # The client waits for 3 s, but with a late_value_fraction of 0 an answer after 1 s (the objective) is
-    # worthless.
+    # The client waits for 3 s, but if late_value_fraction is 0, an answer after the objective of 1 s has no
+    # value.
     request_class = RequestClass(
         "read", 1000.0, 3000.0, late_value_fraction=late_value_fraction, idempotency=Idempotency.IDEMPOTENT
     )
@@ -120,8 +120,10 @@
 
 
 @pytest.mark.parametrize(("tier", "is_early"), [(0, True), (2, False)])
-def test_a_first_attempt_is_cut_early_only_by_its_tiers_part_of_the_aim(tier: int, is_early: bool) -> None:
-    """The objective is that of the whole chain: a late tier that uses all of it does its work twice."""
+def test_first_attempt_times_out_early_only_within_its_tiers_part_of_the_objective(
+    tier: int, is_early: bool
+) -> None:
+    """The objective applies to the whole chain. A later tier that used all of it would do its work twice."""
     replica = Replica(servers=4, tier=tier, tiers=3)
     replica.serve(100, delay_ms=120.0)
     [send] = sends(replica.receive("a"))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Impossible settings are rejected, and the error names them."""
+"""Validation of the settings, and fleets at the limits of what is allowed."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
         ({"tenants": [Tenant("t", 0.5, -1.0)]}, "quota_per_s"),
     ],
 )
-def test_impossible_settings_are_refused(changes: dict[str, Any], name: str) -> None:
+def test_invalid_settings_are_rejected_with_the_name_of_the_field(changes: dict[str, Any], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**changes)
 
 
-def test_an_empty_fleet_one_server_zero_weights_and_a_still_clock() -> None:
+def test_fleet_that_is_empty_or_has_one_server_or_zero_weights_is_handled_without_time_passing() -> None:
     empty = Replica(servers=0)
     assert not [a for a in empty.receive("a") if isinstance(a, SendAttempt)]
     for servers in ([Endpoint(1)], endpoints(range(3), weight=0.0)):
