--- a/tests/plain_selection.py
+++ b/tests/plain_selection.py
@@ -59,7 +59,7 @@
 
     def _walk(self, call: Call, now_ms: float) -> list[Server]:
         """Return the servers that may be picked, worked out for this moment."""
-        ready = [server for server in self._fleet.ready if self._may_get_attempt(server, now_ms)]
+        ready = [server for server in self._fleet.subset_servers if self._may_get_attempt(server, now_ms)]
         found = [server for server in ready if now_ms >= server.ejected_until_ms] or ready
         if call.last_server is not None and len(found) > 1:
             found = [server for server in found if server is not call.last_server]
@@ -75,7 +75,7 @@
         if server.selection.refresh_at_ms <= now_ms:
             self.update(server, now_ms)
         capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
-        if capacity_fraction < 1.0 and server.cold_budget.tokens < 1.0:
+        if capacity_fraction < 1.0 and server.slow_start_budget.tokens < 1.0:
             return False
         speed_factor = server.speed_factor(now_ms, self._typical_delay.objective_ratio)
         weight = server.subset_weight * capacity_fraction * speed_factor
--- a/tests/recorded_sessions.py
+++ b/tests/recorded_sessions.py
@@ -81,21 +81,21 @@
     name: str
     seed: int
     settings: Json
-    span_ms: float  # in which requests arrive
+    arrival_span_ms: float  # in which requests arrive
     requests: int
-    burst: float = 0.0  # the part of the requests that arrives within a tenth of the span
-    fleet: int = 6
+    burst_fraction: float = 0.0  # the part of the requests that arrives within a tenth of the span
+    servers: int = 6
     cells: int = 3
     nodes: int = 1
-    room: int = 6  # attempts that a server holds
+    server_capacity: int = 6  # attempts that a server holds
     work_ms: float = 25.0
     behaviours: tuple[list[Behaviour], list[float]] = field(default_factory=lambda: ([SOUND], [1.0]))
-    list_changes: int = 0
-    full_lists: float = 0.2
-    failing_lists: float = 0.0
-    changed_at_once: int = 1
-    leaving: float = 0.03
-    relaunch_after_ms: float = math.inf
+    list_updates: int = 0
+    full_list_fraction: float = 0.2
+    list_failure_fraction: float = 0.0
+    changes_per_update: int = 1
+    client_leave_fraction: float = 0.03
+    node_restart_after_ms: float = math.inf
 
     @property
     def tick_ms(self) -> float:
@@ -103,9 +103,9 @@
         return float(self.settings["quantum_ms"])
 
     @property
-    def ends_ms(self) -> float:
+    def end_at_ms(self) -> float:
         """When the recording ends: all that was asked has been answered by then."""
-        return 1000.0 + self.span_ms + 1000.0
+        return 1000.0 + self.arrival_span_ms + 1000.0
 
     def next_tick(self, at_ms: float) -> float:
         """The tick at or after a time."""
@@ -127,24 +127,26 @@
             "boot_time_ms": None,
         }
 
-    def entries(self, rng: random.Random) -> list[Json]:
+    def initial_entries(self, rng: random.Random) -> list[Json]:
         """The first list."""
-        return [self.entry(rng, server) for server in rng.sample(range(10, 10 + 4 * self.fleet), self.fleet)]
+        return [
+            self.entry(rng, server) for server in rng.sample(range(10, 10 + 4 * self.servers), self.servers)
+        ]
 
     def arrivals(self, rng: random.Random, nodes: list[str]) -> list[tuple[float, str, Json]]:
         """When each request comes, to which node, and of what class."""
         found = []
         for _ in range(self.requests):
-            after_ms = rng.random() * self.span_ms
-            if rng.random() < self.burst:
-                after_ms = (0.5 + rng.random() / 10.0) * self.span_ms
+            after_ms = rng.random() * self.arrival_span_ms
+            if rng.random() < self.burst_fraction:
+                after_ms = (0.5 + rng.random() / 10.0) * self.arrival_span_ms
             found.append((5.0 + after_ms, rng.choice(nodes), rng.choice(self.settings["classes"])))
         return found
 
-    def change(self, rng: random.Random, entries: list[Json], now: float) -> list[Json]:
+    def change_entries(self, rng: random.Random, entries: list[Json], now: float) -> list[Json]:
         """Change some entries in place, or add a server; what has changed."""
         changed: list[Json] = []
-        for sampled in rng.sample(entries, self.changed_at_once):
+        for sampled in rng.sample(entries, self.changes_per_update):
             entry = sampled
             step = rng.choice(("drain", "remove", "restart", "restart", "skew", "weigh", "move", "add"))
             if step == "add":
@@ -176,11 +178,11 @@
         "first_tier_overload",
         seed=11,
         settings=settings([READ, SAVE, PAY, WATCH], tenants=TENANTS),
-        span_ms=1500.0,
+        arrival_span_ms=1500.0,
         requests=180,
-        burst=0.5,
+        burst_fraction=0.5,
         nodes=2,
-        fleet=4,
+        servers=4,
         work_ms=30.0,
         behaviours=([SOUND, MIXED], [3.0, 1.0]),
     ),
@@ -194,14 +196,14 @@
             weight_kind="silent",
             rules=BUDGET | {"full_may_have_run": True},
         ),
-        span_ms=3000.0,
+        arrival_span_ms=3000.0,
         requests=130,
-        fleet=8,
+        servers=8,
         behaviours=([SOUND, MIXED, DOWN], [2.0, 3.0, 1.0]),
-        list_changes=14,
-        failing_lists=0.3,
-        changed_at_once=2,
-        relaunch_after_ms=2100.0,
+        list_updates=14,
+        list_failure_fraction=0.3,
+        changes_per_update=2,
+        node_restart_after_ms=2100.0,
     ),
     Session(
         "dedup_scopes_and_outliers",
@@ -216,14 +218,14 @@
             stats={"how": "piggyback"},
             prices={"cross_zone": 0.2},
         ),
-        span_ms=3000.0,
+        arrival_span_ms=3000.0,
         requests=145,
-        fleet=8,
+        servers=8,
         cells=6,
-        room=3,
+        server_capacity=3,
         behaviours=([MIXED, OUTLIER, SLOW], [4.0, 2.0, 1.0]),
-        list_changes=7,
-        leaving=0.15,
+        list_updates=7,
+        client_leave_fraction=0.15,
     ),
     Session(
         "many_servers_many_siblings",
@@ -236,14 +238,14 @@
             weight_kind="silent",
             family_info={"passes_deadline": True},
         ),
-        span_ms=1500.0,
+        arrival_span_ms=1500.0,
         requests=130,
-        burst=0.6,
-        fleet=250,
+        burst_fraction=0.6,
+        servers=250,
         cells=60,
         behaviours=([SOUND, MIXED, SLOW], [4.0, 2.0, 1.0]),
-        list_changes=8,
-        full_lists=0.1,
-        changed_at_once=4,
+        list_updates=8,
+        full_list_fraction=0.1,
+        changes_per_update=4,
     ),
 )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -18,7 +18,7 @@
     replica.serve(200)
     for n in range(300):
         replica.receive(f"b{n}")
-    in_flight = sum(s.in_flight for s in replica.balancer.fleet.ready)
+    in_flight = sum(s.in_flight for s in replica.balancer.fleet.subset_servers)
     assert in_flight < 100
     waiting = [a for _, a in replica.actions if isinstance(a, SetTimer)]
     assert len(waiting) >= 200
@@ -47,7 +47,7 @@
     replica.serve(200)
     for n in range(300):
         replica.receive(f"b{n}")
-    assert sum(s.in_flight for s in replica.balancer.fleet.ready) == 300
+    assert sum(s.in_flight for s in replica.balancer.fleet.subset_servers) == 300
 
 
 def fill(replica: Replica) -> int:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -92,7 +92,7 @@
 
 def test_a_pinned_repeat_may_leave_the_copys_part_but_not_the_group() -> None:
     replica = Replica(40, replicas=40)
-    own = {server.id for server in replica.balancer.fleet.ready}
+    own = {server.id for server in replica.balancer.fleet.subset_servers}
     replica.receive("k", "keyed")
     (first,) = replica.sent_to["k"]
     replica.replace_endpoints(
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -215,11 +215,11 @@
         node.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(1, started_at_ms=0.0)]), 0.0)
         server = node.fleet.servers[1]
         slow_start = node._slow_start
-        server.cold_budget = bucket
+        server.slow_start_budget = bucket
         for now_ms in map(float, range(0, 4001, step_ms)):
             capacity_fraction = slow_start.capacity_fraction(server, now_ms)
             total_weight = node.fleet.total_subset_weight
-            slow_start.refill_cold_budget(server, capacity_fraction, total_weight, now_ms)
+            slow_start.refill_slow_start_budget(server, capacity_fraction, total_weight, now_ms)
         saved.append(bucket.tokens)
     assert saved[1] == pytest.approx(saved[0], rel=0.05)
 
@@ -265,7 +265,7 @@
     node.serve(10, gap_ms=2_000.0)
     node.update_endpoints(Endpoint(9, "z", "k", 1, started_at_ms=node.now_ms))
     cold = node.balancer.fleet.servers[9]
-    cold.cold_budget.tokens = 0.0
+    cold.slow_start_budget.tokens = 0.0
     node.balancer._selector.update(cold, node.now_ms)
     began_at_ms = node.now_ms
     while 9 not in node.serve(1, gap_ms=0.0, delay_ms=10.0):
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -43,7 +43,7 @@
     assert (
         old.in_flight_limit < math.inf
         and old.ejected_until_ms > replica.now_ms
-        and old.cold_budget.tokens >= 1.0
+        and old.slow_start_budget.tokens >= 1.0
     )
     while "late" not in replica.sent_to or replica.sent_to["late"][-1] != 1:
         old.ejected_until_ms, replica.sent_to["late"] = -math.inf, []
@@ -57,7 +57,7 @@
     replica.update_endpoints(Endpoint(1, "z", "k", 1, started_at_ms=replica.now_ms))
     new = replica.balancer.fleet.servers[1]
     assert (new.in_flight_limit, new.ejections, new.relative_latency, new.in_flight) == (math.inf, 0, 1.0, 0)
-    assert new.cold_budget.tokens < 1.0
+    assert new.slow_start_budget.tokens < 1.0
     replica.end_attempt("late", Outcome.RESET)  # an attempt on the old process says nothing about the new one
     assert not new.error_log_odds and not new.relative_latency > 1.0
 
@@ -88,7 +88,7 @@
     # A few stuck servers can hold up a whole tier.
     replica = Replica(servers=4)
     replica.serve(80)
-    stuck = replica.balancer.fleet.ready[0].id
+    stuck = replica.balancer.fleet.subset_servers[0].id
     to_stuck = 0
     for n in range(100):
         replica.receive(f"r{n}")
@@ -133,7 +133,10 @@
     for n in range(80):
         replica.receive(f"e{n}", "non_idempotent")
         replica.end_attempt(f"e{n}", Outcome.ERROR, 20.0)
-        assert sum(replica.now_ms < server.ejected_until_ms for server in replica.balancer.fleet.ready) <= 2
+        assert (
+            sum(replica.now_ms < server.ejected_until_ms for server in replica.balancer.fleet.subset_servers)
+            <= 2
+        )
 
 
 def test_copies_share_a_large_fleet_out_evenly() -> None:
@@ -142,9 +145,9 @@
     load = dict.fromkeys(callers, 0.0)
     for number in range(40):
         fleet = Replica(60, replicas=40, replica_index=number).balancer.fleet
-        assert len(fleet.ready) < 30
-        assert math.isclose(sum(server.subset_weight for server in fleet.ready), SLICES * 60 / 40)
-        for server in fleet.ready:
+        assert len(fleet.subset_servers) < 30
+        assert math.isclose(sum(server.subset_weight for server in fleet.subset_servers), SLICES * 60 / 40)
+        for server in fleet.subset_servers:
             callers[server.id] += 1
             load[server.id] += server.subset_weight
     assert max(callers.values()) <= 40 / 2
@@ -153,15 +156,15 @@
 
 def test_a_hot_caller_takes_more_of_the_fleet() -> None:
     replica = Replica(60, replicas=40, tier=1)
-    few = len(replica.balancer.fleet.ready)
+    few = len(replica.balancer.fleet.subset_servers)
     replica.serve(50)
-    assert len(replica.balancer.fleet.ready) == few
+    assert len(replica.balancer.fleet.subset_servers) == few
     for n in range(40):
         replica.receive(f"{n}")
-    assert len(replica.balancer.fleet.ready) > few
+    assert len(replica.balancer.fleet.subset_servers) > few
     assert len({server for sent in replica.sent_to.values() for server in sent}) > few
     replica.replace_endpoints(endpoints(range(60)))
-    assert len(replica.balancer.fleet.ready) == few
+    assert len(replica.balancer.fleet.subset_servers) == few
 
 
 def test_a_cold_server_takes_fewer_turns_than_its_budget_allows() -> None:
@@ -173,7 +176,7 @@
 
 def test_a_copy_numbered_beyond_their_count_still_has_servers() -> None:
     replica = Replica(60, replicas=40, replica_index=57)
-    assert replica.balancer.fleet.ready
+    assert replica.balancer.fleet.subset_servers
     assert sends(replica.receive("a"))
 
 
--- a/tests/wire_simulation.py
+++ b/tests/wire_simulation.py
@@ -54,20 +54,20 @@
         self.nodes = [f"n{number}" for number in range(session.nodes)]
         self.subscribed: set[str] = set()
         self.stamp, self.bank = 1, 0
-        self.servers = {entry["server"]: self.server(entry) for entry in session.entries(self.rng)}
+        self.servers = {entry["server"]: self.server(entry) for entry in session.initial_entries(self.rng)}
         for node in self.nodes:
             self.schedule(0.0, "", partial(self.launch, node))
-            self.schedule(session.relaunch_after_ms, "", partial(self.relaunch, node))
+            self.schedule(session.node_restart_after_ms, "", partial(self.relaunch, node))
         for after_ms, node, cls in session.arrivals(self.rng, self.nodes):
             self.schedule(after_ms, "", partial(self.arrive, node, cls))
-        for step in range(1, session.list_changes + 1):
-            self.schedule(step * session.span_ms / (session.list_changes + 1), "", self.change_list)
+        for step in range(1, session.list_updates + 1):
+            self.schedule(step * session.arrival_span_ms / (session.list_updates + 1), "", self.change_list)
 
     # The adapter's side: a text source and a text sink
 
     def readline(self) -> str:
         """The next batch: all that is due at the next tick; none once all is over."""
-        self.events = [event for event in self.events if event[0] < self.session.ends_ms]
+        self.events = [event for event in self.events if event[0] < self.session.end_at_ms]
         heapq.heapify(self.events)
         if not self.events:
             return ""
@@ -147,7 +147,7 @@
 
     def track(self, node: str) -> list[Json]:
         """Discovery's answer to a subscription."""
-        if self.rng.random() < self.session.failing_lists:
+        if self.rng.random() < self.session.list_failure_fraction:
             return [{"kind": "View", "node": node, "form": "FAILED", "stamp": 0, "bank": 0}]
         self.subscribed.add(node)
         return [self.page(self.whole()), self.view(node, "FULL")]
@@ -155,15 +155,17 @@
     def change_list(self) -> list[Json]:
         """Change some entries and tell those who subscribe; now and then break a subscription instead."""
         self.stamp += 1
-        changed = self.session.change(self.rng, [server.entry for server in self.servers.values()], self.now)
+        changed = self.session.change_entries(
+            self.rng, [server.entry for server in self.servers.values()], self.now
+        )
         for entry in changed:
             if entry["server"] not in self.servers:
                 self.servers[entry["server"]] = self.server(entry)
         told = [node for node in self.nodes if node in self.subscribed]
-        if told and self.rng.random() < self.session.failing_lists:
+        if told and self.rng.random() < self.session.list_failure_fraction:
             self.subscribed.discard(told[0])
             return [{"kind": "View", "node": told[0], "form": "FAILED", "stamp": 0, "bank": 0}]
-        form = "FULL" if self.rng.random() < self.session.full_lists else "INCREMENTAL"
+        form = "FULL" if self.rng.random() < self.session.full_list_fraction else "INCREMENTAL"
         page = self.page(self.whole() if form == "FULL" else changed)
         return [page, *(self.view(node, form) for node in told)]
 
@@ -174,7 +176,7 @@
         request_id = f"{node}-{len(self.requests)}"
         ttl_ms = round(cls["give_up_ms"] * self.rng.choice((0.3, 0.6, 1.0)), 3)
         request = self.requests[request_id] = RequestModel(node, self.now + ttl_ms, cls["stream"])
-        leaves = self.rng.random() < self.session.leaving
+        leaves = self.rng.random() < self.session.client_leave_fraction
         gone_ms = ttl_ms * self.rng.random() if leaves else ttl_ms + self.session.tick_ms * 2
         self.schedule(gone_ms, node, partial(self.leave, request_id, request))
         item = {
@@ -244,7 +246,7 @@
         session = self.session
         if luck < server.down or server.entry["health"] == "terminated":
             return CONNECT_FAILED, min(limit_ms, session.settings["permissions"]["connect_timeout_ms"])
-        if server.busy >= session.room or server.entry["health"] == "terminating":
+        if server.busy >= session.server_capacity or server.entry["health"] == "terminating":
             return FULL, min(limit_ms, 1.0)
         if luck < server.down + server.error:
             return ERROR, min(limit_ms, 2.0)
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -36,7 +36,7 @@
 from workspond.policy.outcome_recorder import OutcomeRecorder
 from workspond.policy.outlier_ejection import OutlierEjection
 from workspond.policy.request_queue import RequestQueue
-from workspond.policy.request_statistics import PEER_SAMPLES, ClassStatistics, TypicalDelay
+from workspond.policy.request_statistics import AVERAGING_SAMPLES, ClassStatistics, TypicalDelay
 from workspond.policy.request_timers import SUBSCRIPTION_TOKEN, RequestTimers
 from workspond.policy.retry_controller import RetryController
 from workspond.policy.retry_policy import RetryPolicy
@@ -81,7 +81,7 @@
         # What is measured.
         self.controller = RetryController()
         self.typical_delay = TypicalDelay()
-        self.class_statistics = ClassStatistics(settings.classes, PEER_SAMPLES)
+        self.class_statistics = ClassStatistics(settings.classes, AVERAGING_SAMPLES)
         idle_timeout = IdleTimeout(settings.keepalive_ms)
         # The servers.
         self.fleet = Fleet(settings, self._rng)
@@ -175,7 +175,7 @@
             self._enqueue(call, now_ms)
             return
         server = self._selector.pick(call, now_ms)
-        if server is None and call.first_possible_run_at_ms is None and self.fleet.ready_count:
+        if server is None and call.first_possible_run_at_ms is None and self.fleet.subset_size:
             self._enqueue(call, now_ms)
         elif server is None or not self._send(call, server, now_ms):
             self._wait_or_end(call, now_ms)
@@ -219,8 +219,8 @@
         if not self._gate.may_send(call, server, now_ms):
             return False
         self.in_flight += 1
-        if self.in_flight > SUBSET_GROWTH_IN_FLIGHT * self.fleet.ready_count:
-            self._selector.apply(self.fleet.grow(now_ms), now_ms)
+        if self.in_flight > SUBSET_GROWTH_IN_FLIGHT * self.fleet.subset_size:
+            self._selector.apply(self.fleet.grow_subset(now_ms), now_ms)
         self._actions += self._sender.send(call, server, now_ms)
         return True
 
--- a/workspond/policy/fleet.py
+++ b/workspond/policy/fleet.py
@@ -45,20 +45,20 @@
         self._rng = rng
         self.servers: dict[int, Server] = {}
         self.total_subset_weight = 0.0
-        self._ready: dict[int, Server] = {}  # the servers in the subset, by id
+        self._subset_servers: dict[int, Server] = {}  # the servers in the subset, by id
         self._subset = Subset(settings.replica_index, settings.replicas, SLICES)
         self._groups = DeduplicationGroups()  # of the servers in service
         self._scopes = {request_class.deduplication_scope for request_class in settings.classes}
 
     @property
-    def ready(self) -> list[Server]:
+    def subset_servers(self) -> list[Server]:
         """The servers in service that are in this replica's subset."""
-        return list(self._ready.values())
+        return list(self._subset_servers.values())
 
     @property
-    def ready_count(self) -> int:
+    def subset_size(self) -> int:
         """The number of servers in this replica's subset."""
-        return len(self._ready)
+        return len(self._subset_servers)
 
     @property
     def slice_count(self) -> int:
@@ -72,7 +72,7 @@
 
     def is_in_subset(self, server: Server) -> bool:
         """Return whether a server is in this replica's subset."""
-        return self._ready.get(server.id) is server
+        return self._subset_servers.get(server.id) is server
 
     def is_current(self, server: Server) -> bool:
         """Return whether a server is still listed, and has not restarted."""
@@ -101,7 +101,7 @@
         self._update_subset(now_ms, change)
         return change
 
-    def grow(self, now_ms: float) -> FleetChange:
+    def grow_subset(self, now_ms: float) -> FleetChange:
         """Double the number of slices, where there are more: a busy replica needs more of the fleet."""
         change = FleetChange()
         if self.slice_count < self._replicas:
@@ -152,7 +152,7 @@
         del self.servers[server.id]
         self._subset.remove(server.id)
         self._groups.remove(server)
-        if self._ready.pop(server.id, None) is not None:
+        if self._subset_servers.pop(server.id, None) is not None:
             change.removed.append(server)
 
     def _update_subset(self, now_ms: float, change: FleetChange) -> None:
@@ -169,17 +169,17 @@
 
     def _leave_subset(self, server_id: int, change: FleetChange) -> None:
         """Drop a server from the subset, if it is in it; it may still get attempts of its group."""
-        server = self._ready.pop(server_id, None)
+        server = self._subset_servers.pop(server_id, None)
         if server is not None:
             server.subset_weight = server.listed_weight
             change.removed.append(server)
 
     def _use_portion(self, server: Server, portion: float, now_ms: float, change: FleetChange) -> None:
         """Use a portion of a server's weight; add it to the subset if it is not in it."""
-        if server.id not in self._ready:
-            self._ready[server.id] = server
+        if server.id not in self._subset_servers:
+            self._subset_servers[server.id] = server
             # It has saved up nothing while it was not this replica's to use.
-            tokens = min(server.cold_budget.tokens, self._rng.random())
-            server.cold_budget = TokenBucket(tokens, now_ms)
+            tokens = min(server.slow_start_budget.tokens, self._rng.random())
+            server.slow_start_budget = TokenBucket(tokens, now_ms)
         server.subset_weight = portion
         change.updated.append(server)
--- a/workspond/policy/outcome_recorder.py
+++ b/workspond/policy/outcome_recorder.py
@@ -76,10 +76,10 @@
             usual_ratio = self._typical_delay.objective_ratio
             # A timeout of an attempt that later ones have overtaken says nothing about the server: it
             # answers, so the connection of the attempt was lost or the request itself takes long.
-            if usual_ratio and (is_success or sent_at_ms >= server.latest_served_sent_at_ms):
+            if usual_ratio and (is_success or sent_at_ms >= server.latest_answered_sent_at_ms):
                 server.record_latency(objective_ratio / usual_ratio, now_ms)
             if is_success:
-                server.latest_served_sent_at_ms = max(server.latest_served_sent_at_ms, sent_at_ms)
+                server.latest_answered_sent_at_ms = max(server.latest_answered_sent_at_ms, sent_at_ms)
             self._controller.record_response(event.duration_ms, objective_ms, now_ms, is_success=is_success)
         elif event.outcome is Outcome.REJECTED:
             # A rejection comes fast, but the server is as slow as it gets: it counts as a full objective.
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -9,7 +9,7 @@
 import random
 
 from workspond.policy.events import Outcome
-from workspond.policy.request_statistics import PEER_SAMPLES
+from workspond.policy.request_statistics import AVERAGING_SAMPLES
 from workspond.policy.server import Server
 
 EJECTION_MS = 1_000.0  # the duration of a first ejection, before jitter
@@ -61,7 +61,7 @@
         """
         is_error = outcome is not Outcome.SUCCESS
         peer_fraction = max(MIN_PEER_ERROR_FRACTION, min(self._error_fraction, OUTLIER_ERROR_FRACTION))
-        self._error_fraction += (is_error - self._error_fraction) / PEER_SAMPLES
+        self._error_fraction += (is_error - self._error_fraction) / AVERAGING_SAMPLES
         if is_error:
             step = math.log(OUTLIER_ERROR_FRACTION / peer_fraction)
         else:
--- a/workspond/policy/request_statistics.py
+++ b/workspond/policy/request_statistics.py
@@ -6,17 +6,17 @@
 
 from workspond.policy.settings import RequestClass
 
-PEER_SAMPLES = 100.0  # responses over which a figure of the whole fleet is averaged
+AVERAGING_SAMPLES = 100.0  # responses over which a figure of the whole fleet is averaged
 
 
 class TypicalDelay:
     """The usual delay of an attempt, relative to the latency objective of its class.
 
-    It is the plain mean up to `PEER_SAMPLES` samples and an exponential moving average afterwards.
+    It is the plain mean up to `AVERAGING_SAMPLES` samples and an exponential moving average afterwards.
 
     Attributes:
         objective_ratio: Mean of delay / objective; 0 before the first sample.
-        samples: Samples so far, `PEER_SAMPLES` at most.
+        samples: Samples so far, `AVERAGING_SAMPLES` at most.
     """
 
     __slots__ = ("objective_ratio", "samples")
@@ -27,7 +27,7 @@
 
     def record(self, objective_ratio: float) -> None:
         """Add a sample: the delay of one attempt divided by the objective of its class."""
-        self.samples = min(self.samples + 1.0, PEER_SAMPLES)
+        self.samples = min(self.samples + 1.0, AVERAGING_SAMPLES)
         self.objective_ratio += (objective_ratio - self.objective_ratio) / self.samples
 
 
--- a/workspond/policy/send_gate.py
+++ b/workspond/policy/send_gate.py
@@ -76,7 +76,7 @@
         if capacity_fraction >= 1.0:
             return True
         total_weight = self._fleet.total_subset_weight
-        if self._slow_start.refill_cold_budget(server, capacity_fraction, total_weight, now_ms) < 1.0:
+        if self._slow_start.refill_slow_start_budget(server, capacity_fraction, total_weight, now_ms) < 1.0:
             return False
-        server.cold_budget.tokens -= 1.0
+        server.slow_start_budget.tokens -= 1.0
         return True
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -34,8 +34,8 @@
         ejected_until_ms: The end of its last ejection.
         ejections: How often in a row it has been ejected.
         error_log_odds: The logarithm of the odds that it fails much more often than its peers.
-        cold_budget: While it is warming up, the attempts that this replica may send to it.
-        cold_budget_per_ms: The rate at which that was last refilled.
+        slow_start_budget: While it is warming up, the attempts that this replica may send to it.
+        slow_start_budget_per_ms: The rate at which that was last refilled.
         selection: What the selection of servers has worked out for it.
     """
 
@@ -52,8 +52,8 @@
         "ejected_until_ms",
         "ejections",
         "error_log_odds",
-        "cold_budget",
-        "cold_budget_per_ms",
+        "slow_start_budget",
+        "slow_start_budget_per_ms",
         "selection",
     )
 
@@ -67,8 +67,10 @@
         self.ejected_until_ms = -math.inf
         self.ejections = 0
         self.error_log_odds = 0.0
-        self.cold_budget = TokenBucket(rng.random(), now_ms)  # random, as all replicas learn of it at once
-        self.cold_budget_per_ms = 0.0
+        self.slow_start_budget = TokenBucket(
+            rng.random(), now_ms
+        )  # random, as all replicas learn of it at once
+        self.slow_start_budget_per_ms = 0.0
         self.selection: SelectionState[Server] = SelectionState()
 
     def update(self, entry: Endpoint) -> bool:
--- a/workspond/policy/server_measurements.py
+++ b/workspond/policy/server_measurements.py
@@ -46,7 +46,7 @@
 
     Attributes:
         calls_in_flight: The calls of this replica that are in flight, by request id, the oldest first.
-        latest_served_sent_at_ms: When the latest sent of the calls that the server answered was sent.
+        latest_answered_sent_at_ms: When the latest sent of the calls that the server answered was sent.
         reported_queue: The waiting requests of the server's last load report.
         reported_at_ms: When it reported them.
         relative_latency: The server's latency over its peers', averaged.
@@ -58,7 +58,7 @@
 
     __slots__ = (
         "calls_in_flight",
-        "latest_served_sent_at_ms",
+        "latest_answered_sent_at_ms",
         "reported_queue",
         "reported_at_ms",
         "relative_latency",
@@ -67,7 +67,7 @@
 
     def __init__(self, now_ms: float) -> None:
         self.calls_in_flight: dict[str, CallInFlight] = {}
-        self.latest_served_sent_at_ms = -math.inf
+        self.latest_answered_sent_at_ms = -math.inf
         self.reported_queue = 0.0
         self.reported_at_ms = now_ms
         self.relative_latency = 1.0
@@ -102,7 +102,7 @@
     def count_stalled_calls(self, now_ms: float, objective_ratio: float) -> int:
         """Count the calls in flight that the server cannot be working on, as far as can be told."""
         return sum(
-            call.sent_at_ms < self.latest_served_sent_at_ms
+            call.sent_at_ms < self.latest_answered_sent_at_ms
             and now_ms - call.sent_at_ms > STALLED_AGE_RATIO * objective_ratio * call.objective_ms
             for call in self.calls_in_flight.values()
         )
@@ -139,7 +139,7 @@
         # such calls, two dead connections kept two sound servers out of work for seconds. The price: a server
         # that answers few calls and loses the rest is noticed only when these time out.
         for call in self.calls_in_flight.values():
-            if call.sent_at_ms >= self.latest_served_sent_at_ms:
+            if call.sent_at_ms >= self.latest_answered_sent_at_ms:
                 return call
         return None
 
@@ -174,6 +174,6 @@
         next_at_ms = math.inf
         for call in self.calls_in_flight.values():
             stalled_at_ms = call.sent_at_ms + STALLED_AGE_RATIO * objective_ratio * call.objective_ms
-            if call.sent_at_ms < self.latest_served_sent_at_ms and now_ms <= stalled_at_ms:
+            if call.sent_at_ms < self.latest_answered_sent_at_ms and now_ms <= stalled_at_ms:
                 next_at_ms = min(next_at_ms, stalled_at_ms + STALLED_CHECK_DELAY_MS)
         return next_at_ms
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -94,7 +94,7 @@
 
     def _has_cold_budget(self, server: Server, capacity_fraction: float, now_ms: float) -> bool:
         """Whether the budget of a server that is warming up allows an attempt."""
-        tokens = self._slow_start.refill_cold_budget(
+        tokens = self._slow_start.refill_slow_start_budget(
             server, capacity_fraction, self._fleet.total_subset_weight, now_ms
         )
         return tokens >= 1.0
@@ -163,7 +163,7 @@
     def ejected_fraction(self, now_ms: float) -> float:
         """Return the fraction of the servers in this replica's subset that are ejected."""
         self.refresh_due(now_ms)
-        return self._ejected_count / (self._fleet.ready_count or 1)
+        return self._ejected_count / (self._fleet.subset_size or 1)
 
     # Picks
 
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -48,7 +48,7 @@
         """Record what fraction of the subset's weight is available from now on."""
         self._warm_fraction.record(fraction, now_ms)
 
-    def refill_cold_budget(
+    def refill_slow_start_budget(
         self, server: Server, capacity_fraction: float, total_subset_weight: float, now_ms: float
     ) -> float:
         """Refill the budget that this replica has for a server that is warming up.
@@ -65,10 +65,10 @@
         capacity_per_ms = self._server_capacity_per_ms(server, total_subset_weight, now_ms)
         per_ms = COLD_BUDGET_FRACTION * self._settings.overload_factor * capacity_fraction * capacity_per_ms
         # Between two refills the rate grew steadily: what came in is that of the mean of both rates.
-        mean_per_ms = (per_ms + (server.cold_budget_per_ms or per_ms)) / 2.0
-        server.cold_budget_per_ms = per_ms
+        mean_per_ms = (per_ms + (server.slow_start_budget_per_ms or per_ms)) / 2.0
+        server.slow_start_budget_per_ms = per_ms
         max_tokens = max(1.0, per_ms * self._settings.overload_window_ms)
-        return server.cold_budget.refill(mean_per_ms, max_tokens, now_ms)
+        return server.slow_start_budget.refill(mean_per_ms, max_tokens, now_ms)
 
     def _server_capacity_per_ms(self, server: Server, total_subset_weight: float, now_ms: float) -> float:
         """Estimate, from its peers' responses, the responses per ms of this replica's part of a warm server.
@@ -89,10 +89,10 @@
         """Return when a server's capacity will have grown notably, or its budget may allow an attempt."""
         if capacity_fraction >= 1.0:
             return math.inf
-        if server.cold_budget.tokens >= 1.0 or not server.cold_budget_per_ms:
+        if server.slow_start_budget.tokens >= 1.0 or not server.slow_start_budget_per_ms:
             step = WEIGHT_TOLERANCE * max(capacity_fraction, MIN_STEP_CAPACITY_FRACTION)
             return now_ms + step * self._settings.ramp_time_ms + MIN_CHECK_MS
         # Not the whole wait: the rate grows as the server gets warmer, and as its peers answer more.
-        wait_ms = (1.0 - server.cold_budget.tokens) / server.cold_budget_per_ms
+        wait_ms = (1.0 - server.slow_start_budget.tokens) / server.slow_start_budget_per_ms
         check_ms = min(max(MIN_BUDGET_CHECK_MS, BUDGET_CHECK_FRACTION * wait_ms), MAX_BUDGET_CHECK_MS)
         return now_ms + min(wait_ms, check_ms) + MIN_CHECK_MS
