--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from tests.peers import LIMIT_S, NodeEnvironment, request, until
+from tests.peers import WAIT_TIMEOUT_S, NodeEnvironment, request, until
 from workspond.downstream.connection_states import ConnectionState
 from workspond.node import Node
 
@@ -44,7 +44,7 @@
     """A client's socket that the node has accepted; it does nothing by itself."""
     await ready_node(environment)
     before = open_connections(environment)
-    client = socket.create_connection(environment.address, LIMIT_S)
+    client = socket.create_connection(environment.address, WAIT_TIMEOUT_S)
     await until(lambda: open_connections(environment) == before + 1)
     return client
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -32,8 +32,8 @@
 __all__ = [
     "CLOSE",
     "HANG",
-    "LIMIT_S",
     "RESET",
+    "WAIT_TIMEOUT_S",
     "Client",
     "Message",
     "NodeEnvironment",
@@ -50,7 +50,7 @@
     "until",
 ]
 
-LIMIT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
+WAIT_TIMEOUT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
 POLL_INTERVAL_S = 0.005
 SEED = "8c1f30d27a5be964"
 
@@ -61,14 +61,14 @@
     """Run a test on the event loop that the program uses."""
 
     async def limited() -> None:
-        await asyncio.wait_for(test, 2 * LIMIT_S)
+        await asyncio.wait_for(test, 2 * WAIT_TIMEOUT_S)
 
     uvloop.run(limited())
 
 
 async def until(done: Callable[[], bool]) -> None:
-    """Wait until something holds; raises `TimeoutError` if it does not in `LIMIT_S`."""
-    async with asyncio.timeout(LIMIT_S):
+    """Wait until something holds; raises `TimeoutError` if it does not in `WAIT_TIMEOUT_S`."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while True:
             if done():
                 return
@@ -87,7 +87,7 @@
 class Client(ClientConnection):
     """A client's connection that renders its requests."""
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Message:
+    async def send_request(self, *args: Any, **kwargs: Any) -> Message:
         """Send what `request` renders of the arguments and read the response."""
         return await self.send(request(*args, **kwargs))
 
@@ -129,13 +129,13 @@
 
     async def client(self) -> Client:
         """A new client's connection."""
-        client = Client(*await asyncio.open_connection(*self.address), timeout_s=LIMIT_S)
+        client = Client(*await asyncio.open_connection(*self.address), timeout_s=WAIT_TIMEOUT_S)
         self.clients.append(client)
         return client
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Message:
+    async def send_request(self, *args: Any, **kwargs: Any) -> Message:
         """Send a request on a new connection and read the response."""
-        return await (await self.client()).ask(*args, **kwargs)
+        return await (await self.client()).send_request(*args, **kwargs)
 
     async def end(self) -> None:
         """End clients, processes, peers and the node, whatever the test has left of them."""
--- a/tests/program.py
+++ b/tests/program.py
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-from tests.peers import LIMIT_S, NodeEnvironment
+from tests.peers import WAIT_TIMEOUT_S, NodeEnvironment
 from tests.test_wire import ROOT
 from workspond.address import Address, parse_address
 
@@ -32,7 +32,7 @@
 
     async def refuses(self) -> None:
         """Wait until the listener is closed."""
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 if not await can_connect(self.environment.address):
                     return
@@ -73,7 +73,7 @@
     """Read the program's log up to the line of its start; returns the address that it listens on."""
     assert process.stderr is not None
     while True:
-        line = await asyncio.wait_for(process.stderr.readline(), LIMIT_S)
+        line = await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)
         assert line, "ended before it was ready"
         if b"started" in line:
             return parse_address(line.decode().rpartition("listen=")[2].strip())
--- a/tests/stalled_listener.py
+++ b/tests/stalled_listener.py
@@ -7,7 +7,7 @@
 from types import TracebackType
 from typing import Any
 
-from tests.peers import LIMIT_S
+from tests.peers import WAIT_TIMEOUT_S
 
 
 class StalledListener:
@@ -49,9 +49,9 @@
     async def accept(self) -> socket.socket:
         """Let the connection that waits come up, and return it."""
         loop = asyncio.get_running_loop()
-        in_backlog, _ = await asyncio.wait_for(loop.sock_accept(self._socket), LIMIT_S)
+        in_backlog, _ = await asyncio.wait_for(loop.sock_accept(self._socket), WAIT_TIMEOUT_S)
         in_backlog.close()
-        stalled, _ = await asyncio.wait_for(loop.sock_accept(self._socket), LIMIT_S)
+        stalled, _ = await asyncio.wait_for(loop.sock_accept(self._socket), WAIT_TIMEOUT_S)
         return stalled
 
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -21,7 +21,7 @@
 )
 from tests.peers import (
     HANG,
-    LIMIT_S,
+    WAIT_TIMEOUT_S,
     NodeEnvironment,
     Server,
     node_environment,
@@ -59,7 +59,7 @@
         async with node_environment(tmp_path, Server()) as environment:
             client = await environment.client()
             if is_used:
-                assert (await client.ask("before")).status == 200
+                assert (await client.send_request("before")).status == 200
             client.write(data)
             assert (await client.read()).status == 408
             assert await client.closed()
@@ -74,7 +74,7 @@
         server = Server()
         async with node_environment(tmp_path, server) as environment:
             silent, idle, waiting = [await environment.client() for _ in range(3)]
-            assert (await idle.ask("idle")).status == 200
+            assert (await idle.send_request("idle")).status == 200
             server.gate.clear()
             waiting.write(request("waiting"))
             assert await silent.closed() and await idle.closed()
@@ -142,7 +142,7 @@
         async with node_environment(tmp_path, server) as environment:
             with socket.socket() as client:
                 connection = await connect_slow_reader(environment, client)
-                client.settimeout(LIMIT_S)
+                client.settimeout(WAIT_TIMEOUT_S)
                 client.sendall(b"".join(request(f"{n}") for n in range(8)))
                 await until(lambda: connection._is_writing_paused)
                 client.sendall(b"".join(request(f"unread-{n}") for n in range(2)))
@@ -188,10 +188,12 @@
             await ready_node(environment)
             requesting = []
             for number in range(3):
-                client = socket.create_connection(environment.address, LIMIT_S)
+                client = socket.create_connection(environment.address, WAIT_TIMEOUT_S)
                 client.sendall(request(f"{number}"))
                 requesting.append(client)
-            silent = [socket.create_connection(environment.address, LIMIT_S) for _ in range(max_connections)]
+            silent = [
+                socket.create_connection(environment.address, WAIT_TIMEOUT_S) for _ in range(max_connections)
+            ]
             for client in requesting:  # the event loop has had no turn so far
                 assert is_ok(await receive(client))
             assert open_connections(environment) <= max_connections
@@ -248,7 +250,7 @@
         async with node_environment(tmp_path, server) as environment:
             node = running_node(environment)
             for n in range(1, 16):
-                assert (await environment.ask(f"{n}")).status == 200
+                assert (await environment.send_request(f"{n}")).status == 200
                 environment.agent.publish(
                     server.entry(name=f"s{n - 1}", status="left"), server.entry(name=f"s{n}")
                 )
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -18,7 +18,7 @@
 from tests.client_helpers import connect, open_requests, running_node
 from tests.peers import (
     HANG,
-    LIMIT_S,
+    WAIT_TIMEOUT_S,
     NodeEnvironment,
     Server,
     node_environment,
@@ -77,11 +77,11 @@
         async with node_environment(tmp_path, server) as environment:
             with await connect(environment) as client:
                 assert (
-                    await environment.ask("before")
+                    await environment.send_request("before")
                 ).status == 200  # leaves an idle connection to the server
                 client.sendall(request("abandoned"))
                 leave_while_loop_is_busy(client, leave)
-                assert (await environment.ask("next")).status == 200
+                assert (await environment.send_request("next")).status == 200
                 await all_requests_finished(environment)
                 assert [seen.request_id for seen in server.received] == ["before", "next"]
 
@@ -133,7 +133,7 @@
                 leave_while_loop_is_busy(client, leave)
                 assert (await first.read()).status == 200
                 await all_requests_finished(environment)
-                assert (await first.ask("next")).status == 200
+                assert (await first.send_request("next")).status == 200
                 assert [seen.request_id for seen in server.received] == ["first", "next"]
 
     run(test())
@@ -152,7 +152,7 @@
                 answer_now(server)
                 leave_while_loop_is_busy(client, leave)
                 await all_requests_finished(environment)
-                assert (await environment.ask("next")).status == 200
+                assert (await environment.send_request("next")).status == 200
                 assert [seen.request_id for seen in server.received] == ["first", "next"]
 
     run(test())
@@ -164,7 +164,7 @@
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)  # full with one connection
-        listener.settimeout(LIMIT_S)
+        listener.settimeout(WAIT_TIMEOUT_S)
         filler.connect(listener.getsockname())
         yield listener
 
--- a/tests/test_close_framed.py
+++ b/tests/test_close_framed.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.peers import CLOSE, LIMIT_S, Server, node_environment, request, run, until
+from tests.peers import CLOSE, WAIT_TIMEOUT_S, Server, node_environment, request, run, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n"
 
@@ -21,7 +21,7 @@
         server = Server(HEAD + b"until the end" + CLOSE, HEAD + CLOSE)
         async with node_environment(tmp_path, server) as environment:
             for request_id, body in (("a", b"until the end"), ("b", b"")):
-                response = await environment.ask(request_id, "pay")
+                response = await environment.send_request(request_id, "pay")
                 assert (response.status, response.body) == (200, body)
 
     run(test())
@@ -31,7 +31,7 @@
     async def test() -> None:
         server = Server(b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n\r\n" + CLOSE)
         async with node_environment(tmp_path, server) as environment:
-            assert (await environment.ask("a", "pay")).status == 200
+            assert (await environment.send_request("a", "pay")).status == 200
             assert [seen.request_id for seen in server.received] == ["a", "a"]
 
     run(test())
@@ -41,8 +41,8 @@
     async def test() -> None:
         server = Server(HEAD + b"without end")
         async with node_environment(tmp_path, server) as environment:
-            assert (await environment.ask("a", "pay", budget="0.5")).status in (502, 504)
-            assert (await environment.ask("b", "pay")).body == b"done"
+            assert (await environment.send_request("a", "pay", budget="0.5")).status in (502, 504)
+            assert (await environment.send_request("b", "pay")).body == b"done"
             assert [seen.request_id for seen in server.received] == ["a", "b"]
 
     run(test())
@@ -54,7 +54,7 @@
 
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            listener.settimeout(LIMIT_S)
+            listener.settimeout(WAIT_TIMEOUT_S)
             entry = {"name": "s", "address": f"127.0.0.1:{listener.getsockname()[1]}", "status": "active"}
             async with node_environment(tmp_path, known=False) as environment:
                 environment.agent.endpoints = [entry]
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Message, Server, render_response, request, run, until
+from tests.peers import WAIT_TIMEOUT_S, Message, Server, render_response, request, run, until
 from workspond.address import Address
 from workspond.policy.events import Outcome
 from workspond.upstream import connection as server_connection
@@ -87,7 +87,7 @@
 
     def __init__(self, *, reset: bool) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
-        self._socket.settimeout(LIMIT_S)
+        self._socket.settimeout(WAIT_TIMEOUT_S)
         self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
         self.requests: list[bytes] = []
         self._resets_first = reset
@@ -97,7 +97,7 @@
 
     def _serve(self) -> None:
         first = self._answer_one()
-        self._first_may_end.wait(LIMIT_S)
+        self._first_may_end.wait(WAIT_TIMEOUT_S)
         if self._resets_first:
             first.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         first.close()
@@ -140,12 +140,12 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            listener.settimeout(LIMIT_S)
+            listener.settimeout(WAIT_TIMEOUT_S)
             client = PoolUnderTest(f"127.0.0.1:{listener.getsockname()[1]}")
             sent_at_s = time.monotonic()
             client.send("a", timeout_ms=timeout_s * 1000.0)
             connection, _ = await asyncio.to_thread(listener.accept)
-            connection.settimeout(LIMIT_S)
+            connection.settimeout(WAIT_TIMEOUT_S)
             assert await asyncio.to_thread(connection.recv, 65536)
             inner, outer = socket.socketpair()
 
--- a/tests/test_connections_at_shutdown.py
+++ b/tests/test_connections_at_shutdown.py
@@ -18,7 +18,7 @@
     receive,
     running_node,
 )
-from tests.peers import HANG, LIMIT_S, Server, node_environment, request, run, until
+from tests.peers import HANG, WAIT_TIMEOUT_S, Server, node_environment, request, run, until
 from workspond import graceful_shutdown
 from workspond.downstream import connection_states, frontend
 
@@ -44,12 +44,12 @@
             incomplete = await environment.client()
             served = await environment.client()
             incomplete.write(INCOMPLETE_REQUESTS["half a body"])
-            assert (await served.ask("before")).status == 200
+            assert (await served.send_request("before")).status == 200
             stopping = asyncio.ensure_future(running_node(environment).stop(0.0))
             await asyncio.sleep(0)
             # A connection that stays open is served on.
-            assert (await served.ask("during")).status == 200
-            await asyncio.wait_for(stopping, LIMIT_S)
+            assert (await served.send_request("during")).status == 200
+            await asyncio.wait_for(stopping, WAIT_TIMEOUT_S)
             await until(lambda: open_connections(environment) == 0)
 
     run(test())
@@ -61,11 +61,11 @@
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
             open_before = await environment.client()
-            assert (await open_before.ask("a")).status == 200
+            assert (await open_before.send_request("a")).status == 200
             stopping = asyncio.create_task(running_node(environment).stop(0.0))
             await asyncio.sleep(0.1)
-            assert (await environment.ask("b")).status == 200
-            assert (await open_before.ask("c")).status == 200
+            assert (await environment.send_request("b")).status == 200
+            assert (await open_before.send_request("c")).status == 200
             await stopping
             with pytest.raises(ConnectionError):
                 await environment.client()
@@ -80,7 +80,7 @@
         server = Server()
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
-            assert (await client.ask("short", budget="0.05")).status == 200
+            assert (await client.send_request("short", budget="0.05")).status == 200
             server.gate.clear()
             stopping = asyncio.ensure_future(running_node(environment).stop())
             await asyncio.sleep(0)
@@ -89,7 +89,7 @@
             await asyncio.sleep(1.0)  # the platform leaves the node 3.7 s
             server.gate.set()
             assert (await client.read()).status == 200
-            await asyncio.wait_for(stopping, LIMIT_S)
+            await asyncio.wait_for(stopping, WAIT_TIMEOUT_S)
 
     run(test())
 
@@ -103,7 +103,7 @@
         async with node_environment(tmp_path, Server()) as environment:
             node = await ready_node(environment)
             # The event loop has no turn till the next await.
-            with socket.create_connection(environment.address, LIMIT_S) as client:
+            with socket.create_connection(environment.address, WAIT_TIMEOUT_S) as client:
                 client.sendall(request("a"))
                 await node.frontend.close_listener()
                 assert is_ok(await receive(client))
@@ -148,8 +148,8 @@
             await until(lambda: open_requests(node) > 0)
             stopping = asyncio.ensure_future(node.stop(0.0))
             await asyncio.sleep(0)
-            assert (await during.ask("b", "pay", budget="20")).status in (502, 504)
+            assert (await during.send_request("b", "pay", budget="20")).status in (502, 504)
             assert (await before.read()).status in (502, 504)
-            await asyncio.wait_for(stopping, LIMIT_S)
+            await asyncio.wait_for(stopping, WAIT_TIMEOUT_S)
 
     run(test())
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Server, node_environment, read_message, request, run, until
+from tests.peers import WAIT_TIMEOUT_S, Server, node_environment, read_message, request, run, until
 from tests.stalled_listener import StalledListener
 from tests.test_listener import FailingSocket
 from workspond.downstream.listener import RETRY_S
@@ -90,7 +90,7 @@
             if cause == "a shortage of descriptors":
                 errors = [errno.EMFILE] * round(delay_s / RETRY_S + 1)
                 listener._socket = cast(socket.socket, FailingSocket(listener._socket, *errors))
-            with socket.create_connection(environment.address, LIMIT_S) as caller:
+            with socket.create_connection(environment.address, WAIT_TIMEOUT_S) as caller:
                 sent_at_s = time.monotonic()
                 caller.sendall(request("a", budget=str(BUDGET_S)))
                 if cause == "a busy event loop":
--- a/tests/test_endpoint_list_reader.py
+++ b/tests/test_endpoint_list_reader.py
@@ -149,7 +149,7 @@
         async with node_environment(tmp_path, *servers) as environment:
             assert environment.node is not None
             for number in range(4):
-                assert (await environment.ask(f"a{number}")).status == 200
+                assert (await environment.send_request(f"a{number}")).status == 200
             environment.agent.publish(servers[0].entry(), snapshot=True)
             node = environment.node
             await until(
@@ -158,7 +158,7 @@
             await asyncio.sleep(0.02)
             requests_before = len(servers[1].received)
             for number in range(4):
-                assert (await environment.ask(f"b{number}")).status == 200
+                assert (await environment.send_request(f"b{number}")).status == 200
             assert len(servers[1].received) == requests_before
 
     run(test())
--- a/tests/test_event_counts.py
+++ b/tests/test_event_counts.py
@@ -27,8 +27,8 @@
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(RESET)) as environment:
-            assert (await environment.ask("lost", "pay")).status == 502
-            assert (await environment.ask("kept", "pay")).status == 200
+            assert (await environment.send_request("lost", "pay")).status == 502
+            assert (await environment.send_request("kept", "pay")).status == 200
             client = await environment.client()
             client.write(b"noise\r\n\r\n")
             assert (await client.read()).status == 400
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -19,7 +19,7 @@
 
 from tests.client_helpers import is_ok, ready_node, receive
 from tests.peers import (
-    LIMIT_S,
+    WAIT_TIMEOUT_S,
     NodeEnvironment,
     ScriptedDiscoveryAgent,
     Server,
@@ -76,13 +76,13 @@
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
             program = await start_program(environment)
-            assert (await environment.ask("before")).status == 200
+            assert (await environment.send_request("before")).status == 200
             environment.clients.pop().writer.close()
             await asyncio.sleep(0.1)
             clients = []
             with no_free_descriptor(program.process.pid):
                 for number in range(5):
-                    client = socket.create_connection(environment.address, LIMIT_S)
+                    client = socket.create_connection(environment.address, WAIT_TIMEOUT_S)
                     client.sendall(request(f"{number}"))
                     clients.append(client)
                 await asyncio.sleep(SHORTAGE_S)
@@ -131,9 +131,9 @@
             assert listener is not None
             failing = FailingSocket(listener._socket, error, error)
             listener._socket = cast(socket.socket, failing)
-            assert (await environment.ask("a")).status == 200
+            assert (await environment.send_request("a")).status == 200
             assert not failing.errors
-            assert (await environment.ask("b")).status == 200
+            assert (await environment.send_request("b")).status == 200
 
     run(test())
 
@@ -163,8 +163,8 @@
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
             program = await start_program(environment, descriptors=limit)
-            idle = [socket.create_connection(environment.address, LIMIT_S) for _ in range(limit)]
-            assert (await environment.ask("a")).status == 200
+            idle = [socket.create_connection(environment.address, WAIT_TIMEOUT_S) for _ in range(limit)]
+            assert (await environment.send_request("a")).status == 200
             assert len(open_descriptors(program.process.pid)) < limit - 10
             for client in idle:
                 client.close()
@@ -195,7 +195,7 @@
                 environment.address = await listen(environment.node, ("127.0.0.1", 0))
                 environment.node.start()
                 await ready_node(environment)
-                assert (await environment.ask("a")).status == 200
+                assert (await environment.send_request("a")).status == 200
             else:
                 with pytest.raises(OSError, match="forced"):
                     await listen(environment.node, ("127.0.0.1", 0))
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -14,7 +14,16 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, RESET, NodeEnvironment, Server, free_port, node_environment, run, until
+from tests.peers import (
+    RESET,
+    WAIT_TIMEOUT_S,
+    NodeEnvironment,
+    Server,
+    free_port,
+    node_environment,
+    run,
+    until,
+)
 from tests.test_wire import ROOT
 from workspond.observability.log_output import LineHandler, LineWriter
 
@@ -68,7 +77,7 @@
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
             await start_with(environment, full_pipe[1])
-            assert (await environment.ask("a")).status == 200
+            assert (await environment.send_request("a")).status == 200
 
     run(test())
 
@@ -85,9 +94,9 @@
             size = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
             fill_pipe(writer)
             for n in range(5):
-                assert (await environment.ask(f"{n}", "pay")).status == 502  # each writes a line
+                assert (await environment.send_request(f"{n}", "pay")).status == 502  # each writes a line
             os.read(reader, size)
-            assert (await environment.ask("after", "pay")).status == 502
+            assert (await environment.send_request("after", "pay")).status == 502
             os.set_blocking(reader, False)
             text = b""
             async with asyncio.timeout(10.0):
@@ -128,7 +137,7 @@
         stderr = make()
         async with node_environment(tmp_path, Server(), start=False) as environment:
             await start_with(environment, stderr)
-            assert (await environment.ask("a")).status == 200
+            assert (await environment.send_request("a")).status == 200
         os.close(stderr)
 
     run(test())
@@ -145,7 +154,7 @@
             await start_with(environment, None, closed)
             caller = await environment.client()
             for n in range(3):
-                assert (await caller.ask(f"{n}", "pay")).status == 502
+                assert (await caller.send_request(f"{n}", "pay")).status == 502
             [process] = environment.processes
             targets = [os.readlink(f"/proc/{process.pid}/fd/{number}") for number in closed]
             assert targets == ["/dev/null"] * len(closed)
@@ -165,7 +174,7 @@
             stderr=full_pipe[1],
             env=os.environ | {"NODE_CONFIG": str(tmp_path / "none")},
         )
-        assert await asyncio.wait_for(process.wait(), LIMIT_S) == 2
+        assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 2
 
     run(test())
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -25,7 +25,7 @@
     async def test() -> None:
         servers = [Server(default=render_response(500), name=f"s{n}", group=n % 2) for n in range(4)]
         async with node_environment(tmp_path, *servers) as environment:
-            responses = await asyncio.gather(*(environment.ask(f"{n}", "save") for n in range(8)))
+            responses = await asyncio.gather(*(environment.send_request(f"{n}", "save") for n in range(8)))
             assert {response.status for response in responses} == {502}
         groups: dict[str, list[int]] = {}
         for server in servers:
@@ -41,7 +41,7 @@
     async def test() -> None:
         server = Server(default=render_response(500))
         async with node_environment(tmp_path, server, classes=classes_with(window_ms=20.0)) as environment:
-            assert (await environment.ask("a", "save")).status == 502
+            assert (await environment.send_request("a", "save")).status == 502
             assert len(server.received) == 1
 
     run(test())
@@ -52,7 +52,7 @@
         draining, removed, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
         async with node_environment(tmp_path, draining, removed, stays) as environment:
             for n in range(6):
-                await environment.ask(f"before-{n}")
+                await environment.send_request(f"before-{n}")
             assert draining.received and removed.received
             environment.agent.publish(draining.entry(status="leaving"), removed.entry(status="left"))
             await until(lambda: len(environment.agent.received) == 2)
@@ -61,7 +61,7 @@
             await until(lambda: removed.closed_connections == removed.connections)
             counts = len(draining.received), len(removed.received)
             for n in range(6):
-                await environment.ask(f"after-{n}")
+                await environment.send_request(f"after-{n}")
             assert (len(draining.received), len(removed.received)) == counts
 
     run(test())
@@ -78,7 +78,7 @@
             async with node_environment(tmp_path, known=False) as environment:
                 environment.agent.publish(entry, snapshot=True)
                 await until(lambda: environment.agent.watches() == 2)
-                response = asyncio.ensure_future(environment.ask("a", "pay"))
+                response = asyncio.ensure_future(environment.send_request("a", "pay"))
                 node = environment.node
                 assert node is not None
                 await until(lambda: node._upstream.connection_count() == 1)
@@ -98,7 +98,7 @@
         server = Server(*[render_response() + CLOSE] * 3)
         async with node_environment(tmp_path, server) as environment:
             for request_id in "abc":
-                assert (await environment.ask(request_id, "pay")).status == 200
+                assert (await environment.send_request(request_id, "pay")).status == 200
                 await until(lambda: server.closed_connections == server.connections)
             assert [seen.request_id for seen in server.received] == list("abc")
 
@@ -114,14 +114,14 @@
             server.pause_s = 0.02
         async with node_environment(tmp_path, *servers) as environment:
             for n in range(4):
-                await environment.ask(f"first-{n}")
+                await environment.send_request(f"first-{n}")
             half_dead.remaining_script.append(HANG)
-            requests = [asyncio.create_task(environment.ask(f"at-once-{n}")) for n in range(4)]
+            requests = [asyncio.create_task(environment.send_request(f"at-once-{n}")) for n in range(4)]
             await until(lambda: sum(task.done() for task in requests) == 3)
             await asyncio.sleep(0.2)  # ten times the usual delay: the request that hangs is long overdue
             count_before = len(half_dead.received)
             for n in range(10):
-                await environment.ask(f"later-{n}")
+                await environment.send_request(f"later-{n}")
             assert len(half_dead.received) - count_before >= 3
             assert (
                 environment.node is not None and environment.node._balancer.in_flight == 1
@@ -151,13 +151,13 @@
             server.pause_s = 0.05
         async with node_environment(tmp_path, *servers) as environment:
             for n in range(20):
-                await environment.ask(f"first-{n}")
+                await environment.send_request(f"first-{n}")
             for server in servers:
                 server.remaining_script.append(HANG)
-            assert (await environment.ask("a")).status == 200
+            assert (await environment.send_request("a")).status == 200
             first_s, second_s, _ = sorted(stated_budgets_s(servers, "a"))
             assert first_s < 0.7 * second_s
-            await environment.ask("once", "pay")
+            await environment.send_request("once", "pay")
             [unsafe_s] = stated_budgets_s(servers, "once")
             assert unsafe_s > 1.5 * first_s
 
@@ -186,9 +186,9 @@
                 for request_id in ("lost", "raises"):
                     loop = asyncio.get_running_loop()
                     sent_at_s = loop.time()
-                    assert (await environment.ask(request_id, budget="0.3")).status == 504
+                    assert (await environment.send_request(request_id, budget="0.3")).status == 504
                     assert loop.time() - sent_at_s >= 0.29  # never early
-            assert (await environment.ask("a")).status == 200
+            assert (await environment.send_request("a")).status == 200
 
     run(test())
 
@@ -201,7 +201,7 @@
         server = Server()
         permissions = {"retry_after": allowed, "max_retry_after_ms": 500.0}
         async with node_environment(tmp_path, server, permissions=permissions) as environment:
-            reply = await environment.ask("a", "pay", budget="0.001")  # no time left for an attempt
+            reply = await environment.send_request("a", "pay", budget="0.001")  # no time left for an attempt
             assert reply.status == 503 and not server.received
             header = reply.headers.get("retry-after")
             assert retry_after_s == (None if header is None else float(header))
@@ -218,9 +218,9 @@
                 await (
                     environment.client()
                 )  # sends nothing: such connections are closed before those that have sent a request
-                assert (await environment.ask(f"{n}")).status == 200
+                assert (await environment.send_request(f"{n}")).status == 200
                 assert (
-                    await first.ask(f"first-{n}")
+                    await first.send_request(f"first-{n}")
                 ).status == 200  # the longest idle are closed, not the oldest
                 assert environment.node is not None
                 assert environment.node.frontend.connection_count() <= 15  # of 29
--- a/tests/test_node_abandoned_requests.py
+++ b/tests/test_node_abandoned_requests.py
@@ -24,7 +24,7 @@
             assert node is not None
             await until(lambda: not node._requests.active)
             server.gate.set()
-            assert (await environment.ask("a")).status == 200  # its id is free again
+            assert (await environment.send_request("a")).status == 200  # its id is free again
             assert [seen.request_id for seen in server.received] == ["a", "a"]  # and nobody retried for it
             assert node._balancer.in_flight == 0
 
@@ -87,7 +87,7 @@
             await until(lambda: environment.node is not None and not environment.node._requests.active)
             server.gate.set()
             await until(lambda: environment.node is not None and not environment.node._attempts.in_flight)
-            assert (await environment.ask("c")).status == 200
+            assert (await environment.send_request("c")).status == 200
             assert [seen.request_id for seen in server.received] == ["a", "c"]
 
     run(test())
--- a/tests/test_node_client_input.py
+++ b/tests/test_node_client_input.py
@@ -86,7 +86,7 @@
             owner, other = await environment.client(), await environment.client()
             owner.write(request("a"))
             await until(lambda: len(server.received) == 1)
-            assert (await other.ask("a")).status == 400
+            assert (await other.send_request("a")).status == 400
             other.writer.close()
             server.gate.set()
             assert (await owner.read()).status == 200
@@ -118,7 +118,7 @@
                 await asyncio.sleep(0)
             assert (await caller.read()).status == 200
             assert server.received[0].body == b"body"
-            reply = await caller.ask("b", extra="Connection: close\r\n")
+            reply = await caller.send_request("b", extra="Connection: close\r\n")
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert await caller.closed()
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -38,13 +38,13 @@
         server, other = Server(name="old"), Server(name="new")
         await other.start()
         async with node_environment(tmp_path, server) as environment:
-            assert (await environment.ask("a")).status == 200
+            assert (await environment.send_request("a")).status == 200
             environment.agent.updates.put_nowait(response)
             await until(lambda: len(environment.agent.received) >= 2)
-            assert (await environment.ask("b")).status == 200
+            assert (await environment.send_request("b")).status == 200
             environment.agent.publish(other.entry(), snapshot=True)
             await until(lambda: len(environment.agent.received) >= 3)
-            assert (await environment.ask("c")).status == 200
+            assert (await environment.send_request("c")).status == 200
             assert [seen.request_id for seen in other.received] == ["c"]
         await other.stop()
 
@@ -171,11 +171,11 @@
             await until(
                 lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
             )
-            assert (await environment.ask("a")).status == 200
+            assert (await environment.send_request("a")).status == 200
             assert [seen.request_id for seen in old.received] == ["a"]
             environment.agent.endpoints = [new.entry()]
             await until(lambda: environment.agent.watches() == 1)
-            assert (await environment.ask("b")).status == 200
+            assert (await environment.send_request("b")).status == 200
             assert [seen.request_id for seen in new.received] == ["b"]
         await new.stop()
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -55,8 +55,10 @@
     async def test() -> None:
         server = Server(response)
         async with node_environment(tmp_path, server) as environment:
-            assert (await environment.ask("a", "pay")).status == 502
-            assert (await environment.ask("b", "pay")).body == b"done"  # and nothing of it reaches the next
+            assert (await environment.send_request("a", "pay")).status == 502
+            assert (
+                await environment.send_request("b", "pay")
+            ).body == b"done"  # and nothing of it reaches the next
             assert [seen.request_id for seen in server.received] == ["a", "b"]
 
     run(test())
@@ -67,7 +69,7 @@
     async def test() -> None:
         server = Server(rejection)
         async with node_environment(tmp_path, server) as environment:
-            assert (await environment.ask("a", "pay")).body == b"done"
+            assert (await environment.send_request("a", "pay")).body == b"done"
             assert [seen.request_id for seen in server.received] == ["a", "a"]
 
     run(test())
@@ -79,7 +81,7 @@
         async with node_environment(tmp_path, down, up) as environment:
             await down.stop()
             for n in range(6):  # the round robin selects the one that is down, too
-                assert (await environment.ask(f"{n}", "pay")).body == b"done"
+                assert (await environment.send_request(f"{n}", "pay")).body == b"done"
             assert sorted(seen.request_id for seen in up.received) == [f"{n}" for n in range(6)]
 
     run(test())
@@ -89,7 +91,7 @@
     async def test() -> None:
         server = Server(HANG)
         async with node_environment(tmp_path, server) as environment:
-            assert (await environment.ask("a", "pay", budget="0.3")).status == 502
+            assert (await environment.send_request("a", "pay", budget="0.3")).status == 502
             await until(lambda: server.closed_connections == 1)
             assert len(server.received) == 1
 
@@ -103,7 +105,7 @@
             render_response(200, b"three") + NOT_HTTP,
         )
         async with node_environment(tmp_path, server) as environment:
-            assert [(await environment.ask(request_id)).body for request_id in "abc"] == [
+            assert [(await environment.send_request(request_id)).body for request_id in "abc"] == [
                 b"one",
                 b"three",
                 b"done",
@@ -119,8 +121,8 @@
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         server = Server(b"HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n" + render_response(200, body), chunked)
         async with node_environment(tmp_path, server) as environment:
-            assert (await environment.ask("a")).body == body
-            assert (await environment.ask("b")).body == b"abcde"
+            assert (await environment.send_request("a")).body == body
+            assert (await environment.send_request("b")).body == b"abcde"
             assert [seen.connection for seen in server.received] == [1, 1]
 
     run(test())
@@ -130,7 +132,7 @@
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
-            await environment.ask(
+            await environment.send_request(
                 "a", "save", body=b"x" * 65536, query="?obj=7f&z=%2F", extra="X-Other: 1\r\n"
             )
             [seen] = server.received
@@ -155,7 +157,7 @@
                 ("d", "read"),
                 ("e", "save"),
             ):
-                assert (await environment.ask(request_id, class_name)).status == 200
+                assert (await environment.send_request(request_id, class_name)).status == 200
             assert [seen.connection for seen in server.received] == [1, 2, 3, 3, 3]
             assert environment.node is not None and environment.node._upstream.connection_count() == 1
             await until(lambda: server.closed_connections == 2)
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -28,7 +28,7 @@
             client = await environment.client()
             client.write(requests(PIPELINED))
             assert [(await client.read()).status for _ in range(PIPELINED)] == [200] * PIPELINED
-            assert (await client.ask("after")).status == 200
+            assert (await client.send_request("after")).status == 200
             assert [seen.request_id for seen in server.received] == [
                 *(f"{n}" for n in range(PIPELINED)),
                 "after",
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Client, ScriptedDiscoveryAgent, Server, node_environment, run
+from tests.peers import WAIT_TIMEOUT_S, Client, ScriptedDiscoveryAgent, Server, node_environment, run
 from tests.program import read_listen_address, spawn
 from workspond.address import parse_address
 
@@ -68,7 +68,7 @@
             node_environment(tmp_path, Server(), start=False, membership_mode="pushed") as environment,
             discovery_state(environment.agent, discovery),
         ):
-            async with asyncio.timeout(LIMIT_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 starts = [time_to_ready_s(environment.path) for _ in range(STARTED_AT_ONCE)]
                 times_s = sorted(await asyncio.gather(*starts))
             median_s = times_s[STARTED_AT_ONCE // 2]
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -17,7 +17,7 @@
 from tests import peers
 from tests.peers import (
     HANG,
-    LIMIT_S,
+    WAIT_TIMEOUT_S,
     NodeEnvironment,
     ScriptedDiscoveryAgent,
     ScriptedListener,
@@ -100,7 +100,7 @@
     """All that a caller gets for what it sends, up to the close."""
     caller = await environment.client()
     caller.write(data)
-    return await asyncio.wait_for(caller.reader.read(), LIMIT_S)
+    return await asyncio.wait_for(caller.reader.read(), WAIT_TIMEOUT_S)
 
 
 TO_SERVERS: dict[str, tuple[bytes, list[bytes], bytes, bytes]] = {
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,7 @@
 
 from tests.peers import (
     HANG,
-    LIMIT_S,
+    WAIT_TIMEOUT_S,
     Message,
     NodeEnvironment,
     ScriptedDiscoveryAgent,
@@ -38,7 +38,7 @@
     """Wait until the program logs a line with this text."""
     assert program.process.stderr is not None
     while True:
-        line = await asyncio.wait_for(program.process.stderr.readline(), LIMIT_S)
+        line = await asyncio.wait_for(program.process.stderr.readline(), WAIT_TIMEOUT_S)
         assert line, "the program has ended"
         if text in line:
             return
@@ -72,7 +72,7 @@
 
             old.gate.set()
             assert (await caller.read()).status == 200
-            assert (await caller.ask("next")).status == 200  # on the same connection
+            assert (await caller.send_request("next")).status == 200  # on the same connection
             assert [seen.request_id for seen in new.received] == ["next"]
 
             write_config(environment, environment.agent)  # and back again
@@ -80,7 +80,7 @@
             await until(lambda: environment.agent.watches() == 2)
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGHUP)
-            assert await asyncio.wait_for(program.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(program.process.wait(), WAIT_TIMEOUT_S) == 0
         await new.stop()
         await other.stop()
 
@@ -99,13 +99,13 @@
         await other.start()
         other.endpoints, other.faulty_responses = [new.entry()], [HANG]
         async with node_environment(tmp_path, old) as environment:
-            assert (await environment.ask("a")).status == 200
+            assert (await environment.send_request("a")).status == 200
             assert environment.node is not None
             host, _, port = other.address.rpartition(":")
             async with asyncio.timeout(4.0):
                 environment.node._discovery.change_address((host, int(port)))
                 await until(lambda: len(other.received) == 3)
-            assert (await environment.ask("b")).status == 200
+            assert (await environment.send_request("b")).status == 200
             assert [seen.request_id for seen in new.received] == ["b"]
         await new.stop()
         await other.stop()
@@ -164,7 +164,7 @@
             environment.agent.publish(ghost.entry(), snapshot=True)
             await until(lambda: len(other.received) == 2)
             for number in range(4):
-                assert (await environment.ask(f"{number}")).status == 200
+                assert (await environment.send_request(f"{number}")).status == 200
             assert not ghost.received and len(server.received) == 4
         await ghost.stop()
         await other.stop()
@@ -196,6 +196,6 @@
                 monkeypatch.setattr(environment.node, "watch_failed", watch_failed)
                 environment.node._discovery.change_address(listener.getsockname())
                 await until(lambda: sum("can't connect" in reason for reason in reasons) >= 2)
-                assert (await environment.ask("a")).status == 200
+                assert (await environment.send_request("a")).status == 200
 
     run(test())
--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -21,8 +21,8 @@
     async def test() -> None:
         server = Server(render_response(), render_response(500))
         async with node_environment(tmp_path, server) as environment:
-            await environment.ask("good", "pay")
-            await environment.ask("bad", "pay")
+            await environment.send_request("good", "pay")
+            await environment.send_request("bad", "pay")
 
     run(test())
     [line] = [text for text in caplog.messages if text.startswith("request ")]
@@ -46,7 +46,7 @@
             assert environment.node is not None
             environment.node._requests._tracer._budget = UnfilledBucket(tokens=MAX_LINES, now_ms=0.0)
             for n in range(MAX_LINES + 3):
-                await environment.ask(f"{n}", "pay")
+                await environment.send_request(f"{n}", "pay")
 
     run(test())
     assert sum(text.startswith("request ") for text in caplog.messages) == MAX_LINES
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -86,7 +86,7 @@
     async def test() -> None:
         server = Server(default=RESET)
         async with node_environment(tmp_path, server) as environment:
-            assert (await environment.ask("a", "pay")).status in (502, 503, 504)
+            assert (await environment.send_request("a", "pay")).status in (502, 503, 504)
             assert [seen.request_id for seen in server.received] == ["a"]
 
     run(test())
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Server, node_environment, run
+from tests.peers import WAIT_TIMEOUT_S, Server, node_environment, run
 from tests.program import Program, spawn
 
 STARTS = 5
@@ -19,7 +19,7 @@
 
 async def signal_until_it_ends(process: asyncio.subprocess.Process, number: signal.Signals) -> int:
     """Send a signal again and again until the process has ended; its exit status."""
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(number)
@@ -61,7 +61,7 @@
             if number is signal.SIGHUP:
                 assert b"configuration reloaded" in errors
                 process.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
 
     run(test())
 
@@ -70,7 +70,7 @@
     """Read the log up to a line with these words, or its end."""
     assert process.stderr is not None
     text = b""
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while line := await process.stderr.readline():
             text += line
             if words in line:
--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -114,7 +114,7 @@
             host, _, port = source.address.rpartition(":")
             environment.node._discovery.change_address((host, int(port)))
             await until(lambda: source.connections == 2)
-            assert (await environment.ask("a")).status == 200  # by the list as it was
+            assert (await environment.send_request("a")).status == 200  # by the list as it was
         await source.stop()
 
     run(test())
--- a/tests/test_start_and_stop.py
+++ b/tests/test_start_and_stop.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Server, node_environment, request, run, until
+from tests.peers import WAIT_TIMEOUT_S, Server, node_environment, request, run, until
 from tests.program import Program, spawn
 
 
@@ -21,7 +21,7 @@
             program = await Program.start(environment)
             idle_client, waiting_client = await environment.client(), await environment.client()
             server.gate.set()
-            assert (await idle_client.ask("before")).status == 200
+            assert (await idle_client.send_request("before")).status == 200
             server.gate.clear()
             waiting_client.write(request("held", "pay"))
             await until(lambda: len(server.received) == 2)
@@ -30,7 +30,7 @@
             server.gate.set()
             assert (await waiting_client.read()).status == 200
             assert await idle_client.closed() and await waiting_client.closed()
-            assert await asyncio.wait_for(program.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(program.process.wait(), WAIT_TIMEOUT_S) == 0
 
     run(test())
 
@@ -62,7 +62,7 @@
         if text:
             path.write_text(text)
         process = await spawn(None if text is None else path)
-        _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
+        _, errors = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         [line] = errors.decode().splitlines()
         assert process.returncode == 2 and words in line
 
@@ -76,7 +76,7 @@
                 json.dumps(environment.config | {"listen": environment.agent.address})
             )
             process = await spawn(environment.path)
-            _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
+            _, errors = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
             [line] = errors.decode().splitlines()
             assert process.returncode == 2 and "in use" in line
 
--- a/workspond/active_request.py
+++ b/workspond/active_request.py
@@ -31,7 +31,7 @@
         attempts_started: How many attempts have been begun.
         attempts_ended: How many of these have ended.
         history: What was written of it to servers.
-        records: How its attempts ended, for the log.
+        attempt_records: How its attempts ended, for the log.
     """
 
     __slots__ = (
@@ -45,7 +45,7 @@
         "attempts_started",
         "attempts_ended",
         "history",
-        "records",
+        "attempt_records",
     )
 
     def __init__(
@@ -66,7 +66,7 @@
         self.attempts_started = 0
         self.attempts_ended = 0
         self.history = AttemptHistory()
-        self.records: list[EndedAttempt | BlockedAttempt] = []
+        self.attempt_records: list[EndedAttempt | BlockedAttempt] = []
 
     def abandon(self, reason: str) -> None:
         """End the request, as nobody waits for its answer any more."""
--- a/workspond/attempt_runner.py
+++ b/workspond/attempt_runner.py
@@ -184,7 +184,7 @@
         )
         if refusal is not None:
             self._counters.increment(CountedEvent.ATTEMPT_BLOCKED, refusal.value)
-            request.records.append(BlockedAttempt(refusal.value))
+            request.attempt_records.append(BlockedAttempt(refusal.value))
         return refusal
 
 
@@ -193,4 +193,6 @@
     request = outgoing.request
     request.attempts_ended += 1
     start_ms = outgoing.started_at_ms - request.received_at_ms
-    request.records.append(EndedAttempt(outgoing.number, outgoing.address, outcome, start_ms, duration_ms))
+    request.attempt_records.append(
+        EndedAttempt(outgoing.number, outgoing.address, outcome, start_ms, duration_ms)
+    )
--- a/workspond/observability/request_trace.py
+++ b/workspond/observability/request_trace.py
@@ -23,7 +23,7 @@
     received_at_ms: float
     attempts_started: int
     attempts_ended: int
-    records: list[EndedAttempt | BlockedAttempt]
+    attempt_records: list[EndedAttempt | BlockedAttempt]
 
 
 class RequestTracer:
@@ -55,5 +55,5 @@
             now - request.received_at_ms,
             message.budget_ms,
             request.attempts_started - request.attempts_ended,
-            "; ".join(map(str, request.records)) or "no attempt ended",
+            "; ".join(map(str, request.attempt_records)) or "no attempt ended",
         )
