--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -180,9 +180,9 @@
         (
             Patch(
                 SERVER_CONNECTION,
-                "        self._is_open = False\n        self._owner.forget(self)\n",
+                "        self._is_open = False\n        self._owner.remove(self)\n",
                 "        self.eof_received()\n"
-                "        self._is_open = False\n        self._owner.forget(self)\n",
+                "        self._is_open = False\n        self._owner.remove(self)\n",
             ),
         ),
     ),
@@ -190,7 +190,7 @@
         "attempts are aborted and left open",
         Rule.DUPLICATE,
         (FaultKind.PROXY_HOLD, FaultKind.SERVER_HANG),
-        (Patch(SERVER_CONNECTION, "        attempt.carrier = self\n", ""),),
+        (Patch(SERVER_CONNECTION, "        attempt.connection = self\n", ""),),
     ),
     BrokenNode(
         "failures are not answered",
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -14,7 +14,7 @@
 from tests.peers import LIMIT_S, Server, node_environment, read_message, request, run, until
 from tests.stalled_listener import StalledListener
 from tests.test_listener import FailingSocket
-from workspond.downstream.listener import RETRY_S
+from workspond.downstream.listener import ACCEPT_RETRY_DELAY_S
 
 SLACK_S = 0.15  # by how much the time that the server is told may exceed what is left
 BUDGET_S = 2.5
@@ -88,7 +88,7 @@
             listener = node.frontend._listener
             assert listener is not None
             if cause == "a shortage of descriptors":
-                errors = [errno.EMFILE] * round(delay_s / RETRY_S + 1)
+                errors = [errno.EMFILE] * round(delay_s / ACCEPT_RETRY_DELAY_S + 1)
                 listener._socket = cast(socket.socket, FailingSocket(listener._socket, *errors))
             with socket.create_connection(environment.address, LIMIT_S) as caller:
                 sent_at_s = time.monotonic()
--- a/workspond/__main__.py
+++ b/workspond/__main__.py
@@ -16,7 +16,7 @@
 
 from workspond.address import Address, format_address
 from workspond.config import InvalidConfigError, read_config
-from workspond.downstream.listener import SHORTAGES
+from workspond.downstream.listener import RESOURCE_SHORTAGE_ERRNOS
 from workspond.event_loop_lag import watch_event_loop_lag
 from workspond.node import Node
 from workspond.observability.log_output import LineWriter, open_standard_descriptors, set_up_logging
@@ -72,7 +72,7 @@
         try:
             return await node.frontend.listen(loop, address)
         except OSError as error:
-            if error.errno not in SHORTAGES:
+            if error.errno not in RESOURCE_SHORTAGE_ERRNOS:
                 raise
             log.warning('listen delayed: endpoint=%s reason="%s"', format_address(address), error)
         await asyncio.sleep(LISTEN_RETRY_INTERVAL_S)
--- a/workspond/downstream/listener.py
+++ b/workspond/downstream/listener.py
@@ -16,9 +16,9 @@
 BACKLOG = 1024  # connections that the kernel holds for the node
 # Fewer than the descriptors that are kept in reserve, as those of closed connections are free a turn later.
 MAX_ACCEPTS_PER_TURN = 16
-RETRY_S = 0.05  # from a shortage to the next attempt to accept
+ACCEPT_RETRY_DELAY_S = 0.05  # from a shortage to the next attempt to accept
 # Errors of this process or the machine. All others are those of the connection that was to be accepted.
-SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+RESOURCE_SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 log = logging.getLogger("workspond")
 
@@ -35,7 +35,7 @@
         """Listen from now on.
 
         Raises:
-            OSError: The address can't be listened on, or the machine runs short (`SHORTAGES`).
+            OSError: The address can't be listened on, or the machine runs short (`RESOURCE_SHORTAGE_ERRNOS`).
         """
         self._loop = loop
         self._make_protocol = make_protocol
@@ -67,7 +67,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno in SHORTAGES:
+                if error.errno in RESOURCE_SHORTAGE_ERRNOS:
                     self._pause(error)
                     return
                 log.info('connection ended before it was accepted: reason="%s"', error)
@@ -81,7 +81,7 @@
             log.warning('accepting connections is paused by a shortage: reason="%s"', error)
         self._has_logged_shortage = True
         self._loop.remove_reader(self._socket)
-        self._retry_timer = self._loop.call_later(RETRY_S, self._resume)
+        self._retry_timer = self._loop.call_later(ACCEPT_RETRY_DELAY_S, self._resume)
 
     def _resume(self) -> None:
         self._retry_timer = None
@@ -126,7 +126,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno in SHORTAGES:
+                if error.errno in RESOURCE_SHORTAGE_ERRNOS:
                     log.warning('connections in the backlog are reset: reason="%s"', error)
                     return
                 continue
--- a/workspond/upstream/attempt.py
+++ b/workspond/upstream/attempt.py
@@ -39,7 +39,7 @@
         """The attempt has ended; called exactly once."""
 
 
-class AttemptCarrier(Protocol):
+class AttemptConnection(Protocol):
     """What an attempt is made with: a connection that is being opened, then the open connection."""
 
     def close(self) -> None:
@@ -54,7 +54,7 @@
 
     Attributes:
         handler: Who is told of the outcome.
-        carrier: What the attempt is made with; None before it has begun and after its end.
+        connection: What the attempt is made with; None before it has begun and after its end.
         is_over: Whether the outcome has been reported.
         is_written: Whether the whole request has been handed to the kernel.
         is_timeout_extended: Whether the timeout has passed while a response was unread.
@@ -62,7 +62,7 @@
 
     __slots__ = (
         "_timeout_timer",
-        "carrier",
+        "connection",
         "handler",
         "is_over",
         "is_timeout_extended",
@@ -71,7 +71,7 @@
 
     def __init__(self, handler: AttemptHandler) -> None:
         self.handler = handler
-        self.carrier: AttemptCarrier | None = None
+        self.connection: AttemptConnection | None = None
         self.is_over = False
         self.is_written = False
         self.is_timeout_extended = False
@@ -83,14 +83,14 @@
 
     def has_unread_data(self) -> bool:
         """Whether something of a response waits to be read."""
-        return self.carrier is not None and self.carrier.has_unread_data()
+        return self.connection is not None and self.connection.has_unread_data()
 
     def end(self, outcome: Outcome, response: ServerResponse | None = None) -> None:
         """Report the outcome, unless one was reported before."""
         if self.is_over:
             return
         self.is_over = True
-        self.carrier = None
+        self.connection = None
         if self._timeout_timer is not None:
             self._timeout_timer.cancel()
         self.handler.attempt_ended(outcome, response)
@@ -99,8 +99,8 @@
         """Stop waiting. The connection is closed, as only that tells the server."""
         if self.is_over:
             return
-        if self.carrier is not None:
-            self.carrier.close()
+        if self.connection is not None:
+            self.connection.close()
         self.end(outcome)
 
     def time_out(self) -> None:
--- a/workspond/upstream/connection.py
+++ b/workspond/upstream/connection.py
@@ -43,7 +43,7 @@
     def put_back(self, connection: ServerConnection) -> None:
         """Keep a connection that carries no attempt for the next one."""
 
-    def forget(self, connection: ServerConnection) -> None:
+    def remove(self, connection: ServerConnection) -> None:
         """Remove a connection that is closed, or is about to be."""
 
 
@@ -111,7 +111,7 @@
     def connection_lost(self, _exc: Exception | None) -> None:
         """End the attempt that it carried, if any."""
         self._is_open = False
-        self._owner.forget(self)
+        self._owner.remove(self)
         if self._attempt is not None:
             outcome = Outcome.RESET if self._attempt.is_written else Outcome.CONNECT_FAILED
             self._end_attempt(outcome, can_reuse=False)
@@ -120,7 +120,7 @@
 
     def close(self) -> None:
         """Close it now, whatever it carries; an attempt on it is not told."""
-        self._owner.forget(self)
+        self._owner.remove(self)
         self._attempt = None
         if self._is_open:
             self._transport.abort()
@@ -148,7 +148,7 @@
         """Write an attempt's request and wait for its response."""
         self._attempt = attempt
         self._parser.start()
-        attempt.carrier = self
+        attempt.connection = self
         self._transport.write(attempt.handler.render_request())
         if self._transport.is_closing():  # the write itself failed
             self._end_attempt(Outcome.CONNECT_FAILED, can_reuse=False)
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -124,7 +124,7 @@
         task = self._loop.create_task(self._connect(attempt, server_id, address))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
-        attempt.carrier = ConnectingTask(task)
+        attempt.connection = ConnectingTask(task)
 
     def _set_timeout(self, delay_s: float, attempt: Attempt) -> None:
         attempt.set_timeout_timer(self._loop.call_later(delay_s, self._on_timeout, attempt))
@@ -191,7 +191,7 @@
         connection.idle_since_ms = now_ms()
         self._idle.setdefault(connection.server_id, []).append(connection)
 
-    def forget(self, connection: ServerConnection) -> None:
+    def remove(self, connection: ServerConnection) -> None:
         """Remove a connection that is closed, or is about to be."""
         self._open.discard(connection)
         idle = self._idle.get(connection.server_id)
