--- a/standins/listener.py
+++ b/standins/listener.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self.address = ""  # host:port, once it listens
         self.port = 0
-        self.connections = 0  # accepted so far
+        self.accepted_connections = 0  # accepted so far
         self.closed_connections = 0
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server  # once it listens
@@ -33,7 +33,7 @@
         self.address = f"{HOST}:{self.port}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.accepted_connections += 1
         self._writers.add(writer)
         try:
             await self.handle_connection(reader, writer)
--- a/standins/scripted.py
+++ b/standins/scripted.py
@@ -30,7 +30,7 @@
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer message after message until the client or the script ends the connection."""
-        number = self.connections
+        number = self.accepted_connections
         while (message := await read_message(reader, number)) is not None:
             self.received.append(message)
             data = await self.script(message)
@@ -53,15 +53,15 @@
         self.default = default
         self.name = name
         self.group = group
-        self.pause_s = 0.0  # before each answer
-        self.gate = asyncio.Event()  # clear: answers wait
-        self.gate.set()
+        self.response_delay_s = 0.0  # before each answer
+        self.may_respond = asyncio.Event()  # clear: answers wait
+        self.may_respond.set()
 
     async def script(self, _message: Message) -> bytes:
         """The next answer of the script, once the gate is open."""
         data = self.remaining_script.pop(0) if self.remaining_script else self.default
-        await self.gate.wait()
-        await asyncio.sleep(self.pause_s)
+        await self.may_respond.wait()
+        await asyncio.sleep(self.response_delay_s)
         return data
 
     def entry(self, **changes: Any) -> dict[str, Any]:
@@ -78,8 +78,8 @@
         self.endpoints: list[dict[str, Any]] = []  # the complete list
         self.updates: asyncio.Queue[bytes] = asyncio.Queue()  # responses for watches
         self.faulty_responses: list[bytes] = []  # replace the next responses, one by one
-        self.gate = asyncio.Event()  # clear: complete lists wait
-        self.gate.set()
+        self.may_respond = asyncio.Event()  # clear: complete lists wait
+        self.may_respond.set()
 
     def watches(self) -> int:
         """How many watches have come so far."""
@@ -99,6 +99,6 @@
         if self.faulty_responses:
             return self.faulty_responses.pop(0)
         if "index=" not in message.target:
-            await self.gate.wait()
+            await self.may_respond.wait()
             return self.render_list(self.endpoints, complete=True)
         return await self.updates.get()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -25,7 +25,7 @@
     ScriptedServer,
 )
 from standins.sockets import free_port
-from tests.test_wire import ENV
+from tests.test_wire import SETTINGS
 from workspond.config import read_config
 from workspond.node import Node
 
@@ -153,7 +153,7 @@
 
 def settings(**changes: Any) -> dict[str, Any]:
     """Start-up settings; a dictionary among the changes is merged into the part of that name."""
-    env: dict[str, Any] = json.loads(json.dumps(ENV))
+    env: dict[str, Any] = json.loads(json.dumps(SETTINGS))
     env["permissions"]["connect_timeout_ms"] = 5000.0
     env["rules"]["ask_every_ms"] = 200.0  # discovery is called soon after a failure
     env["tenants"] = []
--- a/tests/test_agent_client.py
+++ b/tests/test_agent_client.py
@@ -119,13 +119,13 @@
 
     async def test() -> None:
         agent = Server()
-        agent.gate.clear()
+        agent.may_respond.clear()
         async with calling(agent) as (client, owner):
             client.call("/", 0.05)
             await until(lambda: owner.overdue_count == 1)
             await asyncio.sleep(0.3)  # several checks of the progress
             assert owner.overdue_count == 1
-            agent.gate.set()
+            agent.may_respond.set()
             await owner.response(1)
             assert owner.responses == [(200, b"done")]
             assert not owner.failures
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -75,10 +75,10 @@
         async with node_environment(tmp_path, server) as environment:
             silent, idle, waiting = [await environment.client() for _ in range(3)]
             assert (await idle.ask("idle")).status == 200
-            server.gate.clear()
+            server.may_respond.clear()
             waiting.write(request("waiting"))
             assert await silent.closed() and await idle.closed()
-            server.gate.set()
+            server.may_respond.set()
             assert (await waiting.read()).status == 200
 
     run(test())
@@ -219,7 +219,7 @@
 
     async def test() -> None:
         server = Server(render_response(200, b"old"), render_response(200, b"new"))
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             node = running_node(environment)
             disconnected = await environment.client()
@@ -230,7 +230,7 @@
             repeating = await environment.client()
             repeating.write(request("a"))
             await until(lambda: len(server.received) == 2)
-            server.gate.set()
+            server.may_respond.set()
             assert (await repeating.read()).body == b"new"
             await until(lambda: not node._attempts.in_flight)
             balancer = node._balancer
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -194,7 +194,7 @@
             client.send("b")  # the connection itself is good, and used
             assert await client.outcome(2) is Outcome.SUCCESS
             assert [seen.request_id for seen in server.received] == ["b"]
-            assert server.connections == 1
+            assert server.accepted_connections == 1
 
     run(test())
 
@@ -215,12 +215,12 @@
 def test_the_most_recently_used_connection_comes_first_and_idle_ones_can_be_closed() -> None:
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with running(server) as client:
             client.send("a")
             client.send("b")
             await until(lambda: len(server.received) == 2)
-            server.gate.set()
+            server.may_respond.set()
             await client.outcome(2)
             for n in range(3, 6):
                 client.send(f"{n}")
@@ -307,7 +307,7 @@
             client.pool._available_descriptors = lambda: 0
             client.send("a")
             assert await client.outcome(1) is Outcome.NOT_SENT
-            assert not server.connections
+            assert not server.accepted_connections
 
     run(test())
 
@@ -324,7 +324,8 @@
             assert client.outcomes == [Outcome.CANCELLED] * 20
             await until(
                 lambda: (
-                    client.pool.connection_count() == 0 and server.closed_connections == server.connections
+                    client.pool.connection_count() == 0
+                    and server.closed_connections == server.accepted_connections
                 )
             )
 
--- a/tests/test_connections_at_shutdown.py
+++ b/tests/test_connections_at_shutdown.py
@@ -81,13 +81,13 @@
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
             assert (await client.ask("short", budget="0.05")).status == 200
-            server.gate.clear()
+            server.may_respond.clear()
             stopping = asyncio.ensure_future(running_node(environment).stop())
             await asyncio.sleep(0)
             client.write(request("long", budget="2.5"))
             await until(lambda: len(server.received) == 2)
             await asyncio.sleep(1.0)  # the platform leaves the node 3.7 s
-            server.gate.set()
+            server.may_respond.set()
             assert (await client.read()).status == 200
             await asyncio.wait_for(stopping, LIMIT_S)
 
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -59,14 +59,14 @@
 
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             caller = await environment.client()
             sent_at_s = time.monotonic()
             caller.write(request("first") + request("second", budget=str(BUDGET_S)))
             await until(lambda: len(server.received) == 1)
             await asyncio.sleep(1.0)
-            server.gate.set()
+            server.may_respond.set()
             await until(lambda: len(server.received) == 2)
             left_s = time_left_s(sent_at_s)
             assert float(server.received[1].headers["x-budget"]) <= left_s + SLACK_S
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -99,14 +99,14 @@
     if failure is AgentFailure.REFUSED:
         agent._server.close()
     else:
-        agent.gate.clear()
+        agent.may_respond.clear()
 
 
 async def restore_agent(agent: ScriptedDiscoveryAgent, failure: AgentFailure) -> None:
     if failure is AgentFailure.REFUSED:
         host, _, port = agent.address.rpartition(":")
         agent._server = await asyncio.start_server(agent._serve, host, int(port))
-    agent.gate.set()
+    agent.may_respond.set()
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -95,14 +95,14 @@
             )
             caller = await environment.client()
             started_at_s = time.monotonic()
-            first.gate.clear()
+            first.may_respond.clear()
             caller.write(request("a", "save"))
             await until(lambda: len(first.received) == 1)
             other = {"name": "second", "address": slow.address, "group": 1, "status": "active"}
             watches = environment.agent.watches()
             environment.agent.publish(other)
             await until(lambda: environment.agent.watches() > watches)
-            first.gate.set()
+            first.may_respond.set()
             await connecting(environment)
             assert time.monotonic() - started_at_s < window_s
             assert await sent_on(await slow.accept()) is None
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -58,7 +58,7 @@
             await until(lambda: len(environment.agent.received) == 2)
             # The next watch has begun, so the update has been read.
             # Idle connections to the removed server are closed.
-            await until(lambda: removed.closed_connections == removed.connections)
+            await until(lambda: removed.closed_connections == removed.accepted_connections)
             counts = len(draining.received), len(removed.received)
             for n in range(6):
                 await environment.ask(f"after-{n}")
@@ -99,7 +99,7 @@
         async with node_environment(tmp_path, server) as environment:
             for request_id in "abc":
                 assert (await environment.ask(request_id, "pay")).status == 200
-                await until(lambda: server.closed_connections == server.connections)
+                await until(lambda: server.closed_connections == server.accepted_connections)
             assert [seen.request_id for seen in server.received] == list("abc")
 
     run(test())
@@ -111,7 +111,7 @@
     async def test() -> None:
         servers = [Server(name="s0"), half_dead := Server(name="s1")]
         for server in servers:
-            server.pause_s = 0.02
+            server.response_delay_s = 0.02
         async with node_environment(tmp_path, *servers) as environment:
             for n in range(4):
                 await environment.ask(f"first-{n}")
@@ -148,7 +148,7 @@
     async def test() -> None:
         servers = [Server(name="s0"), Server(name="s1")]
         for server in servers:
-            server.pause_s = 0.05
+            server.response_delay_s = 0.05
         async with node_environment(tmp_path, *servers) as environment:
             for n in range(20):
                 await environment.ask(f"first-{n}")
--- a/tests/test_node_abandoned_requests.py
+++ b/tests/test_node_abandoned_requests.py
@@ -14,7 +14,7 @@
 def test_a_caller_that_has_gone_ends_its_request_and_the_attempt_still_reports(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(render_response(500))
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             caller = await environment.client()
             caller.write(request("a"))
@@ -23,7 +23,7 @@
             node = environment.node
             assert node is not None
             await until(lambda: not node._requests.active)
-            server.gate.set()
+            server.may_respond.set()
             assert (await environment.ask("a")).status == 200  # its id is free again
             assert [seen.request_id for seen in server.received] == ["a", "a"]  # and nobody retried for it
             assert node._balancer.in_flight == 0
@@ -78,14 +78,14 @@
 def test_what_is_queued_on_a_connection_is_not_sent_once_its_caller_has_left(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             caller = await environment.client()
             caller.write(request("a") + request("b"))
             await until(lambda: len(server.received) == 1)
             caller.writer.close()
             await until(lambda: environment.node is not None and not environment.node._requests.active)
-            server.gate.set()
+            server.may_respond.set()
             await until(lambda: environment.node is not None and not environment.node._attempts.in_flight)
             assert (await environment.ask("c")).status == 200
             assert [seen.request_id for seen in server.received] == ["a", "c"]
--- a/tests/test_node_client_input.py
+++ b/tests/test_node_client_input.py
@@ -64,14 +64,14 @@
 def test_bad_input_is_turned_away_and_disturbs_nobody(data: bytes, status: int, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             valid_client, invalid_client = await environment.client(), await environment.client()
             valid_client.write(request("other"))
             await until(lambda: len(server.received) == 1)
             invalid_client.write(data)
             assert (await invalid_client.read()).status == status
-            server.gate.set()
+            server.may_respond.set()
             assert (await valid_client.read()).status == 200
             assert [seen.request_id for seen in server.received] == ["other"]
 
@@ -81,14 +81,14 @@
 def test_an_id_that_is_open_is_turned_away_without_harm_to_its_owner(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             owner, other = await environment.client(), await environment.client()
             owner.write(request("a"))
             await until(lambda: len(server.received) == 1)
             assert (await other.ask("a")).status == 400
             other.writer.close()
-            server.gate.set()
+            server.may_respond.set()
             assert (await owner.read()).status == 200
 
     run(test())
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -79,7 +79,7 @@
             assert [seen.target.partition("&")[0][-1] for seen in environment.agent.received[1:]] == list(
                 "1234"
             )
-            assert environment.agent.connections == 1
+            assert environment.agent.accepted_connections == 1
 
     run(test())
 
@@ -99,7 +99,7 @@
         async with node_environment(tmp_path, Server(), membership_mode=mode, rules=rules) as environment:
             async with asyncio.timeout(NOTIFIED_WITHIN_S):
                 await until(lambda: environment.agent.watches() >= 3)
-            assert environment.agent.connections == 3  # the silent ones are abandoned
+            assert environment.agent.accepted_connections == 3  # the silent ones are abandoned
             new = Server(name="new")
             await new.start()
             # The first two of these go to the watches that are lost.
@@ -146,13 +146,13 @@
         old, new = Server(name="old"), Server(name="new")
         await new.start()
         async with node_environment(tmp_path, old) as environment:
-            environment.agent.gate.clear()
+            environment.agent.may_respond.clear()
             environment.agent.endpoints = [new.entry()]
             caller, other = await environment.client(), await environment.client()
             caller.write(request("a"))
             await until(lambda: environment.node is not None and len(environment.node._requests.active) == 1)
             assert (await other.get("/-/ready")).status == 500
-            environment.agent.gate.set()
+            environment.agent.may_respond.set()
             assert (await caller.read()).status == 200
             assert (await other.get("/-/ready")).status == 200
             assert [seen.request_id for seen in new.received] == ["a"] and not old.received
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -58,7 +58,7 @@
 
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
             began_s = time.monotonic()
@@ -67,7 +67,7 @@
             client.write(tail)
             if not hangs:
                 await asyncio.sleep(0.1)
-                server.gate.set()
+                server.may_respond.set()
             first = await client.read()
             error = await client.read()
             assert first.status == (504 if hangs else 200)
@@ -76,7 +76,7 @@
             assert await client.closed()
             assert time.monotonic() - began_s < 3.0
             assert open_requests(running_node(environment)) == 0
-            server.gate.set()
+            server.may_respond.set()
 
     run(test())
 
@@ -99,7 +99,7 @@
 
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             owner = await environment.client()
             other = await environment.client()
@@ -107,7 +107,7 @@
             await until(lambda: len(server.received) == 1)
             other.write(request("a") + request("b"))
             assert (await other.read()).status == 400
-            server.gate.set()
+            server.may_respond.set()
             assert (await other.read()).status == (await owner.read()).status == 200
 
     run(test())
@@ -118,14 +118,14 @@
 
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
             client.write(requests(10 * PIPELINED))
             await until(lambda: len(server.received) == 1)
             client.writer.close()
             await asyncio.sleep(0.1)
-            server.gate.set()
+            server.may_respond.set()
             await until(lambda: open_connections(environment) == 0)
             assert open_requests(running_node(environment)) == 0
             assert len(server.received) <= 2
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -25,7 +25,7 @@
 async def discovery_state(registry: ScriptedDiscoveryAgent, state: str) -> AsyncIterator[None]:
     """Put discovery into a state for as long as the context lasts."""
     if state == "silent":
-        registry.gate.clear()
+        registry.may_respond.clear()
     elif state != "up":
         registry._server.close()
         await registry._server.wait_closed()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -49,7 +49,7 @@
 
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
-        old.gate.clear()
+        old.may_respond.clear()
         other = ScriptedDiscoveryAgent()
         await new.start()
         await other.start()
@@ -70,7 +70,7 @@
             watch = f"/api/targets?index=1&wait={discovery.WATCH_MS}"
             assert [seen.target for seen in other.received] == ["/api/targets", watch]
 
-            old.gate.set()
+            old.may_respond.set()
             assert (await caller.read()).status == 200
             assert (await caller.ask("next")).status == 200  # on the same connection
             assert [seen.request_id for seen in new.received] == ["next"]
--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -77,7 +77,7 @@
             source.endpoints = [server.entry()]
             await environment.start_node()
             await until(lambda: environment.node is not None and environment.node.is_ready())
-            assert source.connections == 1
+            assert source.accepted_connections == 1
 
     run(test())
 
@@ -113,7 +113,7 @@
             monkeypatch.setattr("tests.test_slow_endpoint_lists.PIECES", 1000)
             host, _, port = source.address.rpartition(":")
             environment.node._discovery.change_address((host, int(port)))
-            await until(lambda: source.connections == 2)
+            await until(lambda: source.accepted_connections == 2)
             assert (await environment.ask("a")).status == 200  # by the list as it was
         await source.stop()
 
@@ -152,7 +152,7 @@
             await until(
                 lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 2
             )
-            assert source.connections <= 8
+            assert source.accepted_connections <= 8
         await new.stop()
 
     run(test())
--- a/tests/test_start_and_stop.py
+++ b/tests/test_start_and_stop.py
@@ -16,18 +16,18 @@
 def test_sigterm_finishes_what_is_held_and_exits_0(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server, start=False) as environment:
             program = await Program.start(environment)
             idle_client, waiting_client = await environment.client(), await environment.client()
-            server.gate.set()
+            server.may_respond.set()
             assert (await idle_client.ask("before")).status == 200
-            server.gate.clear()
+            server.may_respond.clear()
             waiting_client.write(request("held", "pay"))
             await until(lambda: len(server.received) == 2)
             program.process.send_signal(signal.SIGTERM)
             await program.refuses()
-            server.gate.set()
+            server.may_respond.set()
             assert (await waiting_client.read()).status == 200
             assert await idle_client.closed() and await waiting_client.closed()
             assert await asyncio.wait_for(program.process.wait(), LIMIT_S) == 0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -17,7 +17,7 @@
 from workspond.simulator_adapter import ACTION_FORMATS
 
 ROOT = Path(__file__).parent.parent
-ENV: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "classes": [
         {
             "name": "read",
@@ -75,7 +75,7 @@
 }
 
 
-def launch(node: str, salt: int = 7, env: dict[str, Any] = ENV) -> list[dict[str, Any]]:
+def launch(node: str, salt: int = 7, env: dict[str, Any] = SETTINGS) -> list[dict[str, Any]]:
     servers = [
         {
             "server": n,
@@ -238,7 +238,7 @@
 
 def changed_settings(path: list[Any], value: Any = None) -> dict[str, Any]:
     """The settings with one value replaced, or removed if none is given."""
-    env = copy.deepcopy(ENV)
+    env = copy.deepcopy(SETTINGS)
     part = env
     for key in path[:-1]:
         part = part[key]
