--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -18,7 +18,7 @@
     replica.serve(200)
     for n in range(300):
         replica.receive(f"b{n}")
-    in_flight = sum(s.in_flight for s in replica.balancer.fleet.ready)
+    in_flight = sum(s.in_flight for s in replica.balancer.fleet.subset_servers)
     assert in_flight < 100
     queue_timers = [a for _, a in replica.actions if isinstance(a, SetTimer)]
     assert len(queue_timers) >= 200
@@ -47,7 +47,7 @@
     replica.serve(200)
     for n in range(300):
         replica.receive(f"b{n}")
-    assert sum(s.in_flight for s in replica.balancer.fleet.ready) == 300
+    assert sum(s.in_flight for s in replica.balancer.fleet.subset_servers) == 300
 
 
 def fill_to_limit(replica: Replica) -> int:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Message, Server, render_response, request, run, until
+from tests.peers import WAIT_TIMEOUT_S, Message, Server, render_response, request, run, until
 from workspond.address import Address
 from workspond.policy.events import Outcome
 from workspond.upstream import connection as server_connection
@@ -87,7 +87,7 @@
 
     def __init__(self, *, reset: bool) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
-        self._socket.settimeout(LIMIT_S)
+        self._socket.settimeout(WAIT_TIMEOUT_S)
         self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
         self.requests: list[bytes] = []
         self._resets_first = reset
@@ -97,7 +97,7 @@
 
     def _serve(self) -> None:
         first = self._answer_one()
-        self._first_may_end.wait(LIMIT_S)
+        self._first_may_end.wait(WAIT_TIMEOUT_S)
         if self._resets_first:
             first.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         first.close()
@@ -140,12 +140,12 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            listener.settimeout(LIMIT_S)
+            listener.settimeout(WAIT_TIMEOUT_S)
             client = PoolUnderTest(f"127.0.0.1:{listener.getsockname()[1]}")
             sent_at_s = time.monotonic()
             client.send("a", timeout_ms=timeout_s * 1000.0)
             connection, _ = await asyncio.to_thread(listener.accept)
-            connection.settimeout(LIMIT_S)
+            connection.settimeout(WAIT_TIMEOUT_S)
             assert await asyncio.to_thread(connection.recv, 65536)
             inner, outer = socket.socketpair()
 
@@ -194,7 +194,7 @@
             client.send("b")  # the connection itself is good, and used
             assert await client.outcome(2) is Outcome.SUCCESS
             assert [seen.request_id for seen in server.received] == ["b"]
-            assert server.connections == 1
+            assert server.accepted_connections == 1
 
     run(test())
 
@@ -215,12 +215,12 @@
 def test_the_most_recently_used_connection_comes_first_and_idle_ones_can_be_closed() -> None:
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with running(server) as client:
             client.send("a")
             client.send("b")
             await until(lambda: len(server.received) == 2)
-            server.gate.set()
+            server.may_respond.set()
             await client.outcome(2)
             for n in range(3, 6):
                 client.send(f"{n}")
@@ -307,7 +307,7 @@
             client.pool._available_descriptors = lambda: 0
             client.send("a")
             assert await client.outcome(1) is Outcome.NOT_SENT
-            assert not server.connections
+            assert not server.accepted_connections
 
     run(test())
 
@@ -324,7 +324,8 @@
             assert client.outcomes == [Outcome.CANCELLED] * 20
             await until(
                 lambda: (
-                    client.pool.connection_count() == 0 and server.closed_connections == server.connections
+                    client.pool.connection_count() == 0
+                    and server.closed_connections == server.accepted_connections
                 )
             )
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Client, ScriptedDiscoveryAgent, Server, node_environment, run
+from tests.peers import WAIT_TIMEOUT_S, Client, ScriptedDiscoveryAgent, Server, node_environment, run
 from tests.program import read_listen_address, spawn
 from workspond.address import parse_address
 
@@ -25,7 +25,7 @@
 async def discovery_state(registry: ScriptedDiscoveryAgent, state: str) -> AsyncIterator[None]:
     """Put discovery into a state for as long as the context lasts."""
     if state == "silent":
-        registry.gate.clear()
+        registry.may_respond.clear()
     elif state != "up":
         registry._server.close()
         await registry._server.wait_closed()
@@ -68,7 +68,7 @@
             node_environment(tmp_path, Server(), start=False, membership_mode="pushed") as environment,
             discovery_state(environment.agent, discovery),
         ):
-            async with asyncio.timeout(LIMIT_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 starts = [time_to_ready_s(environment.path) for _ in range(STARTED_AT_ONCE)]
                 times_s = sorted(await asyncio.gather(*starts))
             median_s = times_s[STARTED_AT_ONCE // 2]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -92,7 +92,7 @@
 
 def test_keyed_retry_may_leave_the_subset_but_not_the_deduplication_group() -> None:
     replica = Replica(40, replicas=40)
-    subset = {server.id for server in replica.balancer.fleet.ready}
+    subset = {server.id for server in replica.balancer.fleet.subset_servers}
     replica.receive("k", "keyed")
     (first,) = replica.sent_to["k"]
     replica.replace_endpoints(
--- a/workspond/policy/outcome_recorder.py
+++ b/workspond/policy/outcome_recorder.py
@@ -78,10 +78,10 @@
             typical_ratio = self._typical_delay.objective_ratio
             # A timeout says nothing about the server if the server has answered an attempt that was sent
             # later. In that case the connection was lost, or the request itself takes long.
-            if typical_ratio and (is_success or sent_at_ms >= server.latest_served_sent_at_ms):
+            if typical_ratio and (is_success or sent_at_ms >= server.latest_answered_sent_at_ms):
                 server.record_latency(objective_ratio / typical_ratio, now_ms)
             if is_success:
-                server.latest_served_sent_at_ms = max(server.latest_served_sent_at_ms, sent_at_ms)
+                server.latest_answered_sent_at_ms = max(server.latest_answered_sent_at_ms, sent_at_ms)
             self._controller.record_response(event.duration_ms, objective_ms, now_ms, is_success=is_success)
         elif event.outcome is Outcome.REJECTED:
             # A rejection arrives fast although the server is overloaded, so it counts as a delay of the
