--- a/tests/checker.py
+++ b/tests/checker.py
@@ -32,7 +32,7 @@
     sent_at_ms: float
     server_id: int
     deduplication_group: str | int | None
-    outcome: Outcome | None = None  # None: in flight
+    outcome: Outcome | None = None  # None while the attempt is in flight
 
 
 @dataclass
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random sequences of valid events: every action follows the operating rules, or the checker reports it."""
+"""Random sequences of valid events: no action breaks an operating rule, and the checker detects faults."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 class Attempt:
     sent_at_ms: float
     server_id: int
-    outcome: Outcome | None = None  # None: in flight
+    outcome: Outcome | None = None  # None while the attempt is in flight
 
 
 @dataclass
@@ -48,7 +48,7 @@
     request_class: RequestClass
     deadline_at_ms: float
     attempts: list[Attempt] = field(default_factory=list)
-    answers: int = 0
+    answers: int = 0  # number of final answers, at most 1 if rule 1 holds
 
     @property
     def in_flight(self) -> bool:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -174,7 +174,7 @@
     assert answers(replica.end_attempt("a", Outcome.REJECTED)) == [FailRequest("a")]
     replica.receive("b", "keyed")
     replica.end_attempt("b", Outcome.REJECTED, 10.0)
-    assert not try_send(replica, "b", 1 - replica.sent_to["b"][0] % 2)  # another group
+    assert not try_send(replica, "b", 1 - replica.sent_to["b"][0] % 2)  # a server of the other group
     replica.receive("c", "non_idempotent")
     assert timers(replica.end_attempt("c", Outcome.CONNECT_FAILED))  # this request has certainly not run
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -33,7 +33,8 @@
         settings(**changes)
 
 
-def test_fleet_that_is_empty_or_has_one_server_or_zero_weights_is_handled_without_time_passing() -> None:
+def test_empty_fleet_single_server_and_zero_weights_cause_no_error() -> None:
+    # The clock never advances, so all durations are 0 as well.
     empty = Replica(servers=0)
     assert not [a for a in empty.receive("a") if isinstance(a, SendAttempt)]
     for servers in ([Endpoint(1)], endpoints(range(3), weight=0.0)):
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -47,7 +47,7 @@
         }
 
     def should_shed(self, call: Call, now_ms: float) -> bool:
-        """Return whether to shed a new request, chosen at random with the probability for its priority.
+        """Decide at random whether to shed a new request, and return the decision.
 
         Classes of the lowest priority are shed first. A class is shed in part if shedding all classes of
         lower priority does not reach the fraction to shed, but shedding this class too would exceed it.
@@ -75,7 +75,7 @@
             call: The request to be sent.
             in_flight: The number of attempts of this replica in flight.
             count_stalled_calls: Takes the current time and returns how many of these attempts no server is
-                working on any more.
+                working on.
             now_ms: The current time.
         """
         # The limit is computed in every tier because that also advances the time of the response rate.
--- a/workspond/policy/idle_timeout.py
+++ b/workspond/policy/idle_timeout.py
@@ -10,7 +10,7 @@
 
 from workspond.policy.events import Outcome
 
-LOSS_FACTOR = 0.5  # the limit is set to this fraction of the idle time before an attempt was lost
+LOSS_FACTOR = 0.5  # the limit is set to this fraction of the idle time after which attempts were lost
 SUCCESS_FACTOR = 1.03  # the limit is multiplied by this after each success on an idle connection
 # Connections that were idle for less than this fraction of the servers' keep-alive time have not been dropped
 # for being idle.
--- a/workspond/policy/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -58,11 +58,11 @@
     """
 
     def __init__(self) -> None:
-        self._kp = math.sin(PHASE_MARGIN)  # KP / nu1, equation 40
-        self._ki = math.cos(PHASE_MARGIN)  # KI / nu1, equation 41
+        self._kp = math.sin(PHASE_MARGIN)  # KP divided by nu1, equation 40
+        self._ki = math.cos(PHASE_MARGIN)  # KI divided by nu1, equation 41
         self.response_rate = EventRate(RATE_WINDOW_MS)
         self.failure_rate = EventRate(RATE_WINDOW_MS)
-        # Sums over the recent samples, each sample weighted by its age
+        # Sums over the recent samples. The weight of a sample falls with time and with each newer sample.
         self._error_sum_s = 0.0
         self._objective_sum_s = 0.0
         self._sample_count = 0.0
@@ -70,7 +70,7 @@
         self.tuned_rate = 0.0
         self.integral = 0.0
         self.allowed_rate = 0.0
-        self._shed_integral = 0.0  # the integral part of the shed fraction
+        self._shed_integral = 0.0  # integral part of the shed fraction
         self._shed_fraction = 0.0
 
     def record_response(
--- a/workspond/policy/retry_policy.py
+++ b/workspond/policy/retry_policy.py
@@ -74,10 +74,10 @@
         return now_ms < self.repeat_deadline_at_ms(call)
 
     def repeat_deadline_at_ms(self, call: Call) -> float:
-        """Return the time from which on the request must not be sent any more.
+        """Return the time from which the request must no longer be sent.
 
-        This is infinity if there is no limit, and minus infinity if the request may have run and is not
-        idempotent.
+        This is infinity if there is no limit, and minus infinity if the request is not idempotent and may
+        have run.
         """
         if call.first_possible_run_at_ms is None or call.request_class.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
--- a/workspond/policy/send_gate.py
+++ b/workspond/policy/send_gate.py
@@ -45,7 +45,7 @@
             and self._may_run_on(call, server, now_ms)
             and self._is_in_service(server)
             and self._within_retry_budget(call, now_ms)
-            and self._take_from_cold_budget(server, now_ms)
+            and self._take_from_slow_start_budget(server, now_ms)
         )
 
     def _can_be_answered(self, call: Call, now_ms: float) -> bool:
@@ -76,7 +76,7 @@
         """Check rule 5: a retry is within the retry budget, if the settings define one."""
         return not call.attempts or self._retry_policy.within_retry_budget(now_ms)
 
-    def _take_from_cold_budget(self, server: Server, now_ms: float) -> bool:
+    def _take_from_slow_start_budget(self, server: Server, now_ms: float) -> bool:
         """Check rule 4: a server that is warming up gets no more than its token bucket allows."""
         capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
         if capacity_fraction >= 1.0:
