--- a/tests/plain_selection.py
+++ b/tests/plain_selection.py
@@ -8,7 +8,7 @@
 from workspond.policy.call import Call
 from workspond.policy.server import Server
 from workspond.policy.server_selection import ServerSelector
-from workspond.policy.weighted_round_robin import rounded
+from workspond.policy.weighted_round_robin import round_weight
 
 # By how much a kept weight may be off: `WEIGHT_TOLERANCE` for each of the things that fade or grow.
 KEPT_WEIGHT_TOLERANCE = 0.25
@@ -47,7 +47,8 @@
         self.refresh_due(now_ms)
         candidates = self._walk(call, now_ms)
         gained = {
-            server.id: server.selection.latest_current_weight() + rounded(server.selection.effective_weight)
+            server.id: server.selection.latest_current_weight()
+            + round_weight(server.selection.effective_weight)
             for server in candidates
         }
         picked = super().pick(call, now_ms)
@@ -93,7 +94,7 @@
         assert gained[picked.id] >= max(gained.values()) - CURRENT_WEIGHT_TOLERANCE
         total_weight = sum(server.selection.effective_weight for server in candidates)
         picked_weight = picked.selection.effective_weight
-        paid = total_weight * rounded(picked_weight) / picked_weight
+        paid = total_weight * round_weight(picked_weight) / picked_weight
         for server in candidates:
             expected = gained[server.id] - (paid if server is picked else 0.0)
             current_weight = server.selection.latest_current_weight()
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -123,7 +123,7 @@
                 weights[member] = rng.choice((1.0, 0.5, 2.0)) if seed % 2 else 1.0
                 subset.set_weight(member, weights[member])
         slices = rng.choice((4, 4, 8, 16))
-        subset.use_slices(slices)
+        subset.set_slice_count(slices)
         changed = subset.update()
         plain = cut_subset(weights, replica_index, replicas, slices)
         expected = {member: portion for member, portion in plain.items() if portion > 1e-9}
@@ -144,12 +144,12 @@
             groups.remove(server)
             zones.pop(server.id, None)
         else:
-            groups.put(server, ((DeduplicationScope.ZONE, zone), EVERYWHERE))
+            groups.assign(server, ((DeduplicationScope.ZONE, zone), EVERYWHERE))
             zones[server.id] = zone
         expected = {server_id for server_id, other in zones.items() if other == zone}
-        drawn = groups.draw((DeduplicationScope.ZONE, zone), 100, rng)
+        drawn = groups.sample((DeduplicationScope.ZONE, zone), 100, rng)
         assert {server.id for server in drawn} == expected
-    draws = Counter(server.id for _ in range(3000) for server in groups.draw(EVERYWHERE, 5, rng))
+    draws = Counter(server.id for _ in range(3000) for server in groups.sample(EVERYWHERE, 5, rng))
     assert set(draws) == set(zones) and max(draws.values()) < 2 * min(draws.values())
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -10,7 +10,7 @@
 from workspond.policy.balancer import Balancer
 from workspond.policy.endpoint import Endpoint
 from workspond.policy.events import AttemptEnded, EndpointUpdate, Outcome, RequestReceived, UpdateKind
-from workspond.policy.fleet import SLICES
+from workspond.policy.fleet import INITIAL_SLICES
 from workspond.policy.settings import RequestClass, Settings
 
 
@@ -146,12 +146,14 @@
     for number in range(40):
         fleet = Replica(60, replicas=40, replica_index=number).balancer.fleet
         assert len(fleet.subset_servers) < 30
-        assert math.isclose(sum(server.subset_weight for server in fleet.subset_servers), SLICES * 60 / 40)
+        assert math.isclose(
+            sum(server.subset_weight for server in fleet.subset_servers), INITIAL_SLICES * 60 / 40
+        )
         for server in fleet.subset_servers:
             callers[server.id] += 1
             load[server.id] += server.subset_weight
     assert max(callers.values()) <= 40 / 2
-    assert all(math.isclose(part, SLICES) for part in load.values())
+    assert all(math.isclose(part, INITIAL_SLICES) for part in load.values())
 
 
 def test_a_hot_caller_takes_more_of_the_fleet() -> None:
--- a/workspond/policy/deduplication_groups.py
+++ b/workspond/policy/deduplication_groups.py
@@ -1,6 +1,6 @@
-"""Groups of servers that drop repeats together, from which a bounded number can be drawn.
+"""Deduplication groups: servers that recognise and drop repeats of each other's requests.
 
-All operations cost the same however many servers there are.
+Adding, removing and sampling servers takes constant time, whatever their number.
 """
 
 from __future__ import annotations
@@ -10,17 +10,19 @@
 from workspond.policy.server import Server
 from workspond.policy.settings import DeduplicationScope
 
-GroupKey = tuple[DeduplicationScope, str | int | None]  # a scope, and the group's value in it
+GroupKey = tuple[
+    DeduplicationScope, str | int | None
+]  # the scope, and the zone or cell; None for all servers
 
 
 class ServerGroup:
-    """Servers that can be added, removed and drawn at a cost that does not grow with their number."""
+    """A set of servers with constant-time insertion, removal and random sampling."""
 
     __slots__ = ("_servers", "_positions")
 
     def __init__(self) -> None:
         self._servers: list[Server] = []
-        self._positions: dict[int, int] = {}  # in that list, by id
+        self._positions: dict[int, int] = {}  # index in `_servers`, by server id
 
     def __len__(self) -> int:
         return len(self._servers)
@@ -38,24 +40,24 @@
             self._servers[position] = last
             self._positions[last.id] = position
 
-    def draw(self, max_count: int, rng: random.Random) -> list[Server]:
-        """Return all servers; where there are more, `max_count` in a row from a random one on."""
+    def sample(self, max_count: int, rng: random.Random) -> list[Server]:
+        """Return all servers, or `max_count` consecutive ones from a random position if there are more."""
         if len(self._servers) <= max_count:
             return list(self._servers)
         start = rng.randrange(len(self._servers))
-        drawn = self._servers[start : start + max_count]
-        return drawn + self._servers[: max_count - len(drawn)]
+        sampled = self._servers[start : start + max_count]
+        return sampled + self._servers[: max_count - len(sampled)]
 
 
 class DeduplicationGroups:
-    """Servers by the groups that they belong to, one for each scope in use."""
+    """The servers by deduplication group; a server belongs to one group in each scope that is in use."""
 
     def __init__(self) -> None:
         self._groups: dict[GroupKey, ServerGroup] = {}
-        self._keys: dict[int, tuple[GroupKey, ...]] = {}  # of each member, by id
+        self._keys: dict[int, tuple[GroupKey, ...]] = {}  # the groups of each server, by server id
 
-    def put(self, server: Server, keys: tuple[GroupKey, ...]) -> None:
-        """Put a server into these groups and no others."""
+    def assign(self, server: Server, keys: tuple[GroupKey, ...]) -> None:
+        """Make a server a member of these groups only."""
         self.remove(server)
         self._keys[server.id] = keys
         for key in keys:
@@ -69,7 +71,7 @@
             if not group:
                 del self._groups[key]
 
-    def draw(self, key: GroupKey, max_count: int, rng: random.Random) -> list[Server]:
-        """Draw at most `max_count` servers of a group; none if there is no such group."""
+    def sample(self, key: GroupKey, max_count: int, rng: random.Random) -> list[Server]:
+        """Return at most `max_count` random consecutive servers of a group; [] if there is no such group."""
         group = self._groups.get(key)
-        return group.draw(max_count, rng) if group is not None else []
+        return group.sample(max_count, rng) if group is not None else []
--- a/workspond/policy/moving_averages.py
+++ b/workspond/policy/moving_averages.py
@@ -1,7 +1,7 @@
 """Rates, means and counts over recent time.
 
-`EventRate` and `TimeWeightedMean` are exponential moving averages: what was recorded `t` milliseconds ago
-counts with the weight `exp(-t / time_constant_ms)`. `SlidingWindowCounter` counts exactly.
+`EventRate` and `TimeWeightedMean` are exponential moving averages: a value recorded `t` milliseconds ago has
+the weight `exp(-t / time_constant_ms)`. `SlidingWindowCounter` counts events exactly.
 """
 
 from __future__ import annotations
@@ -9,30 +9,31 @@
 import math
 from collections import deque
 
-MIN_RATE_SPAN_S = 1.0  # a rate is never derived from less than this much time
+MIN_RATE_SPAN_S = 1.0  # minimum time that a rate is computed over
 
 
 class EventRate:
     """An exponential moving average of the number of events per second.
 
-    Time starts with the first call of `record`.
+    The observed time begins with the first call of `record`.
 
     Attributes:
-        events: Sum of the recorded events, each weighted by its age.
-        span_s: Observed time, weighted by its age in the same way; it approaches the time constant.
+        events: The sum of the recorded events, each weighted by its age.
+        span_s: The observed time in seconds, weighted by age like the events; it approaches the time
+            constant.
     """
 
     __slots__ = ("_time_constant_ms", "_updated_at_ms", "events", "span_s")
 
     def __init__(self, time_constant_ms: float) -> None:
-        """`time_constant_ms` is the age at which an event counts for 1/e."""
+        """Create a rate in which an event of the age `time_constant_ms` has the weight 1/e."""
         self._time_constant_ms = time_constant_ms
         self._updated_at_ms = -math.inf
         self.events = 0.0
         self.span_s = 0.0
 
     def record(self, events: float, now_ms: float) -> None:
-        """Add events at `now_ms`; 0 events only advance the time."""
+        """Add events at `now_ms`; with 0 events, only the time advances."""
         is_first = self._updated_at_ms == -math.inf
         elapsed_ms = 0.0 if is_first else max(0.0, now_ms - self._updated_at_ms)
         if elapsed_ms or is_first:
@@ -48,7 +49,7 @@
 
 
 class TimeWeightedMean:
-    """An exponential moving average of a value over time: each value counts for as long as it lasted.
+    """An exponential moving average of a value over time: each value is weighted by its duration and its age.
 
     Attributes:
         value: The mean as of the last `record`.
@@ -57,14 +58,14 @@
     __slots__ = ("_latest_value", "_time_constant_ms", "_updated_at_ms", "value")
 
     def __init__(self, time_constant_ms: float) -> None:
-        """`time_constant_ms` is the age at which a value counts for 1/e."""
+        """Create a mean in which a value of the age `time_constant_ms` has the weight 1/e."""
         self._time_constant_ms = time_constant_ms
         self._updated_at_ms = -math.inf
         self._latest_value = 0.0
         self.value = 0.0
 
     def record(self, value: float, now_ms: float) -> None:
-        """Set the value that holds from `now_ms` on; the previous one counts up to `now_ms`."""
+        """Set the value from `now_ms` on; the previous value counts up to `now_ms`."""
         if self._updated_at_ms == -math.inf:
             self.value = value
         else:
@@ -80,14 +81,14 @@
     __slots__ = ("_times_ms", "_window_ms")
 
     def __init__(self, window_ms: float) -> None:
-        """`window_ms` is the length of the window."""
+        """Create a counter with a window of `window_ms` milliseconds."""
         self._window_ms = window_ms
         self._times_ms: deque[float] = deque()
 
     def add(self, now_ms: float) -> None:
         """Count an event at `now_ms`."""
         self._times_ms.append(now_ms)
-        self.count(now_ms)  # frees expired entries even if nobody ever reads the count
+        self.count(now_ms)  # removes expired entries even if the count is never read
 
     def count(self, now_ms: float) -> int:
         """Return the number of events in the window that ends at `now_ms`."""
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -1,6 +1,6 @@
 """Outlier ejection: servers that fail much more often than their peers get no attempts for a while.
 
-The paper that the policy follows names none; this is ours.
+The paper on which the policy is based describes no outlier ejection; this method is the project's own.
 """
 
 from __future__ import annotations
@@ -12,24 +12,23 @@
 from workspond.policy.request_statistics import AVERAGING_SAMPLES
 from workspond.policy.server import Server
 
-EJECTION_MS = 1_000.0  # the duration of a first ejection, before jitter
-MAX_EJECTION_DOUBLINGS = 5  # how often the duration doubles at most, for ejections in a row
-MIN_EJECTION_JITTER = 0.5  # a duration is multiplied by a random factor between this and 1 more
-MAX_EJECTED_FRACTION = 0.5  # of the servers, from which on none more is ejected for its errors
-EJECTION_LOG_ODDS = math.log(30.0)  # from which on a server is ejected for its errors
-OUTLIER_ERROR_FRACTION = 0.5  # the fraction of errors that a server is suspected of
-MIN_PEER_ERROR_FRACTION = 0.01  # that peers are taken to have at least
-IN_FLIGHT_LIMIT_CUT = (
-    0.9  # the part of the calls in flight that a server may hold after it rejects an attempt
-)
+BASE_EJECTION_MS = 1_000.0  # duration of a first ejection, before jitter
+MAX_EJECTION_DOUBLINGS = 5  # consecutive ejections double the duration up to this many times
+MIN_EJECTION_JITTER = 0.5  # the duration is multiplied by a random factor from this to this + 1
+MAX_EJECTED_FRACTION = 0.5  # while this fraction of the servers is ejected, none is ejected for errors
+EJECTION_LOG_ODDS = math.log(30.0)  # a server with these odds of being an outlier is ejected
+OUTLIER_ERROR_FRACTION = 0.5  # assumed error fraction of an outlier
+MIN_PEER_ERROR_FRACTION = 0.01  # lower bound of the error fraction that is assumed for the peers
+# After a rejection the in-flight limit is the number of calls in flight, multiplied by this factor.
+IN_FLIGHT_LIMIT_DECREASE = 0.9
 
 
 class OutlierEjection:
-    """Ejects servers, and limits their calls in flight, by the outcomes of their attempts."""
+    """Ejects servers and limits their calls in flight, according to the outcomes of their attempts."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._error_fraction = 0.0  # of the recent attempts to all servers
+        self._error_fraction = 0.0  # of recent attempts to all servers
 
     def record_outcome(
         self, server: Server, outcome: Outcome, ejected_fraction: float, now_ms: float
@@ -39,25 +38,27 @@
         Args:
             server: The server of the attempt.
             outcome: How the attempt ended.
-            ejected_fraction: The fraction of the servers that are ejected now.
-            now_ms: The time.
+            ejected_fraction: The fraction of the servers that are currently ejected.
+            now_ms: The current time in ms.
         """
         if outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             in_flight = min(server.in_flight_limit, float(server.in_flight))
-            server.in_flight_limit = max(1.0, in_flight * IN_FLIGHT_LIMIT_CUT)
-            # Without calls in flight the server is down, or out of connections.
+            server.in_flight_limit = max(1.0, in_flight * IN_FLIGHT_LIMIT_DECREASE)
+            # If no call is in flight, the server is down or accepts no more connections.
             if outcome is Outcome.CONNECT_FAILED and not server.in_flight:
                 self._eject(server, now_ms)
         elif outcome is Outcome.SUCCESS:
             server.in_flight_limit += 1.0 / server.in_flight_limit
         if outcome in (Outcome.SUCCESS, Outcome.ERROR, Outcome.RESET):
-            self._update_odds(server, outcome, ejected_fraction, now_ms)
+            self._update_error_odds(server, outcome, ejected_fraction, now_ms)
 
-    def _update_odds(self, server: Server, outcome: Outcome, ejected_fraction: float, now_ms: float) -> None:
-        """Update the odds that the server is an outlier, and eject it where they are high.
+    def _update_error_odds(
+        self, server: Server, outcome: Outcome, ejected_fraction: float, now_ms: float
+    ) -> None:
+        """Update the odds that the server is an outlier, and eject it if they are high.
 
-        Fast errors look like low latency. So the hypothesis that the server fails half its calls is weighed
-        against the one that it fails as its peers do.
+        Latency does not reveal a server that fails fast. So this is a likelihood ratio test: the hypothesis
+        that the server fails half of its calls, against the one that it fails as often as its peers.
         """
         is_error = outcome is not Outcome.SUCCESS
         peer_fraction = max(MIN_PEER_ERROR_FRACTION, min(self._error_fraction, OUTLIER_ERROR_FRACTION))
@@ -70,14 +71,15 @@
         if server.error_log_odds >= EJECTION_LOG_ODDS:
             if ejected_fraction < MAX_EJECTED_FRACTION:
                 self._eject(server, now_ms)
-            server.error_log_odds = EJECTION_LOG_ODDS / 2.0  # on its return it is on probation
+            # After the ejection, fewer errors than before suffice to eject the server again.
+            server.error_log_odds = EJECTION_LOG_ODDS / 2.0
         elif not server.error_log_odds:
             server.ejections = 0
 
     def _eject(self, server: Server, now_ms: float) -> None:
-        """Eject a server, unless it is ejected: longer each time in a row, with jitter; it ends by itself."""
+        """Eject a server unless it is ejected already; the duration grows exponentially and has jitter."""
         if now_ms >= server.ejected_until_ms:
             doublings = min(server.ejections, MAX_EJECTION_DOUBLINGS)
             jitter = MIN_EJECTION_JITTER + self._rng.random()
-            server.ejected_until_ms = now_ms + EJECTION_MS * 2.0**doublings * jitter
+            server.ejected_until_ms = now_ms + BASE_EJECTION_MS * 2.0**doublings * jitter
             server.ejections += 1
--- a/workspond/policy/selection_state.py
+++ b/workspond/policy/selection_state.py
@@ -1,4 +1,4 @@
-"""What the selection of servers keeps for each server between two picks."""
+"""The state that the server selection keeps for each server between picks."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(slots=True)
 class SelectionState(Generic[ItemT]):
-    """What `ServerSelector` last worked out for a server.
+    """The values that `ServerSelector` last computed for a server.
 
     Attributes:
-        rotation_entry: The server's membership in a rotation; None while it is in none.
-        current_weight: Its current weight while it is in no rotation.
-        effective_weight: Its weight in a rotation; 0 if it has not been in any yet.
-        counted_weight: Its part of the selector's total weight.
-        stalled_calls: Its part of the selector's count of stalled calls.
-        is_ejected: Whether it is one of the selector's count of ejected servers.
-        refresh_at_ms: The moment at which all this has to be worked out anew.
+        rotation_entry: The server's entry in a rotation; None while it is in no rotation.
+        current_weight: The server's current weight while it is in no rotation.
+        effective_weight: The server's effective weight; 0 until it is computed for the first time.
+        counted_weight: The weight that the selector's total includes for the server.
+        stalled_calls: The stalled calls that the selector's total includes for the server.
+        is_ejected: Whether the selector's number of ejected servers includes the server.
+        refresh_at_ms: The time at which these values have to be computed again; infinite if none is known.
     """
 
     rotation_entry: RotationEntry[ItemT] | None = None
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -1,4 +1,4 @@
-"""What the policy of this replica knows of one server."""
+"""The policy's record of one server: its entry in the endpoint list, and the state kept by this replica."""
 
 from __future__ import annotations
 
@@ -11,32 +11,35 @@
 from workspond.policy.settings import DeduplicationScope
 from workspond.policy.token_bucket import TokenBucket
 
-# Between two starts of a server at least. Start times that are derived from a clock anew each time they are
-# read differ by less.
+# A start time that is later by no more than this belongs to the same process. Discovery may derive the start
+# time from a clock whenever it is read, and such readings differ slightly.
 MIN_RESTART_INTERVAL_MS = 100.0
 
 
 class Server(ServerMeasurements):
-    """One server of the endpoint list: its entry, what was measured of it, and what follows from that.
+    """A server of the endpoint list: its entry, its measurements, and the state derived from them.
 
-    A restarted server is another `Server`, as nothing is known of the new process.
+    A server that restarts gets a new `Server` object, because the measurements of the old process do not
+    apply to the new one.
 
     Attributes:
-        id: Its id in the endpoint list.
-        zone: Its zone, from its entry.
-        cell: Its cell, from its entry.
-        listed_weight: Its weight, from its entry; not below 0.
-        in_service: Whether it may get new attempts, from its entry.
-        started_at_ms: When its process started, from its entry; None: long ago.
-        subset_weight: The part of the listed weight that is this replica's to use.
-        last_used_at_ms: When a connection to it was last in use.
-        in_flight_limit: The calls of this replica that it can hold; finite once it has rejected an attempt.
-        ejected_until_ms: The end of its last ejection.
-        ejections: How often in a row it has been ejected.
-        error_log_odds: The logarithm of the odds that it fails much more often than its peers.
-        slow_start_budget: While it is warming up, the attempts that this replica may send to it.
-        slow_start_budget_per_ms: The rate at which that was last refilled.
-        selection: What the selection of servers has worked out for it.
+        id: The id in the endpoint list.
+        zone: The zone, from the entry.
+        cell: The cell, from the entry.
+        listed_weight: The weight from the entry; at least 0.
+        in_service: Whether the entry allows new attempts.
+        started_at_ms: The time at which the process started, from the entry; None if that was long ago.
+        subset_weight: The part of the listed weight that is assigned to this replica.
+        last_used_at_ms: The time at which a connection to the server was last used.
+        in_flight_limit: The number of this replica's calls that may be in flight at the server. Infinite
+            until the server rejects an attempt or a connection attempt fails.
+        ejected_until_ms: The end of the last ejection.
+        ejections: The number of consecutive ejections.
+        error_log_odds: The logarithm of the odds that the server fails much more often than its peers.
+        slow_start_budget: The token bucket of the attempts that this replica may send while the server is
+            warming up.
+        slow_start_budget_per_ms: The rate, in tokens per ms, of the last refill of that bucket.
+        selection: The state that `ServerSelector` keeps for the server.
     """
 
     __slots__ = (
@@ -60,24 +63,23 @@
     def __init__(self, entry: Endpoint, now_ms: float, rng: random.Random) -> None:
         super().__init__(now_ms)
         self.id = entry.server_id
-        self._read(entry)
+        self._copy_entry(entry)
         self.subset_weight = self.listed_weight
         self.last_used_at_ms = now_ms
         self.in_flight_limit = math.inf
         self.ejected_until_ms = -math.inf
         self.ejections = 0
         self.error_log_odds = 0.0
-        self.slow_start_budget = TokenBucket(
-            rng.random(), now_ms
-        )  # random, as all replicas learn of it at once
+        # The initial fill is random, because all replicas learn of a new server at the same time.
+        self.slow_start_budget = TokenBucket(rng.random(), now_ms)
         self.slow_start_budget_per_ms = 0.0
         self.selection: SelectionState[Server] = SelectionState()
 
     def update(self, entry: Endpoint) -> bool:
-        """Take over the server's current entry of the endpoint list.
+        """Update the server from its current entry in the endpoint list.
 
         Returns:
-            Whether anything that matters here has changed.
+            Whether any of the fields that the policy uses has changed.
         """
         unchanged = (
             entry.zone == self.zone
@@ -88,10 +90,10 @@
         )
         if unchanged:
             return False
-        self._read(entry)
+        self._copy_entry(entry)
         return True
 
-    def _read(self, entry: Endpoint) -> None:
+    def _copy_entry(self, entry: Endpoint) -> None:
         self.zone = entry.zone
         self.cell = entry.cell
         self.listed_weight = max(entry.weight, 0.0)
@@ -99,14 +101,18 @@
         self.started_at_ms = entry.started_at_ms
 
     def has_restarted(self, entry: Endpoint) -> bool:
-        """Return whether the entry names a later start than the one known."""
+        """Return whether the entry has a later start time than this server, so that it is a new process."""
         return (
             entry.started_at_ms is not None
             and entry.started_at_ms > (self.started_at_ms or -math.inf) + MIN_RESTART_INTERVAL_MS
         )
 
     def deduplication_group(self, scope: DeduplicationScope) -> str | int | None:
-        """Return the group of servers that drop repeats together; None if all servers do."""
+        """Return the server's deduplication group in a scope.
+
+        The servers of a group recognise and drop repeats of each other's requests. None stands for the one
+        group of all servers.
+        """
         match scope:
             case DeduplicationScope.ZONE:
                 return self.zone
--- a/workspond/policy/server_measurements.py
+++ b/workspond/policy/server_measurements.py
@@ -1,7 +1,7 @@
-"""How fast a server is, by what this replica has measured of it.
+"""This replica's measurements of a server, and the speed factor derived from them.
 
-Three things show that a server is slow: its latency relative to its peers', the queue that it reports, and
-calls in flight that it has not answered for long. They are combined to a factor of its weight.
+A server counts as slow because of its latency relative to its peers, the queue length that it reports, or the
+age of its calls in flight. The three signals are combined into one factor of the server's weight.
 """
 
 from __future__ import annotations
@@ -9,51 +9,51 @@
 import math
 from dataclasses import dataclass
 
-# Relative latency: a server's latency over its peers', each as a ratio of the objective.
-SLOW_LATENCY_RATIO = 1.5  # relative latency from which a server counts as slow
-SLOW_LATENCY_EXPONENT = 4.0  # how steeply the weight of a slow server falls, so that it gets rest
-MAX_LATENCY_RATIO = 10.0  # relative latency that one answer counts for at most
-LATENCY_SAMPLES = 3.0  # answers over which relative latency is averaged
-LATENCY_DECAY_MS = 10_000.0  # time constant with which relative latency returns to 1
-
-# Reported queue: the requests that a server said were waiting there.
-QUEUE_DECAY_MS = 5_000.0  # time constant with which a reported queue fades
-QUEUE_EXPONENT = 3  # how steeply the weight of a server falls with its queue
-MIN_QUEUE = 0.01  # requests; a reported queue that has faded to less counts as none
-
-# Calls in flight, by their age as a ratio of the typical delay.
-# A call makes its server look as slow as one answer would whose delay is the call's age over this ratio.
+# The relative latency of a server is its latency divided by that of its peers. Each latency is a ratio of the
+# objective.
+SLOW_LATENCY_RATIO = 1.5  # a server with a higher relative latency counts as slow
+SLOW_LATENCY_EXPONENT = 4.0  # a steep decrease of the weight lets a slow server recover
+MAX_LATENCY_RATIO = 10.0  # upper bound of one sample of the relative latency
+LATENCY_SAMPLES = 3.0  # number of samples over which the relative latency is averaged
+LATENCY_DECAY_MS = 10_000.0  # time constant of the decay of the relative latency to 1
+
+# The reported queue of a server is the number of waiting requests in its last load report.
+QUEUE_DECAY_MS = 5_000.0  # time constant of the decay of the reported queue to 0
+QUEUE_EXPONENT = 3  # the weight is divided by (1 + queue) to this power
+MIN_QUEUE = 0.01  # a queue that has decayed to fewer requests counts as empty
+
+# The age of a call in flight is taken as a ratio of the typical delay.
+# A call in flight counts like an answer whose delay is the age of the call, divided by this ratio.
 OVERDUE_AGE_RATIO = 1.5
-STALLED_AGE_RATIO = 4.0  # an older call that later ones have overtaken is stalled: the server has lost it
-MIN_OVERDUE_CHECK_MS = 1.0  # between two looks at an overdue call
-STALLED_CHECK_DELAY_MS = 1.0  # after the moment at which a call counts as stalled
+STALLED_AGE_RATIO = 4.0  # an older call is stalled, that is lost by its server, if a later call was answered
+MIN_OVERDUE_CHECK_MS = 1.0  # minimum time between two checks of an overdue call
+STALLED_CHECK_DELAY_MS = 1.0  # time from the moment at which a call becomes stalled to the check
 
-# A server's weight is worked out anew as soon as one of the things that it depends on has changed it by this
-# fraction.
+# A server's weight is computed again as soon as one of its inputs has changed it by this fraction.
 WEIGHT_TOLERANCE = 0.1
 
 
 @dataclass(slots=True)
 class CallInFlight:
-    """A call that a server has been sent and has not answered."""
+    """A call that was sent to a server and has not been answered yet."""
 
     sent_at_ms: float
     objective_ms: float  # the latency objective of its class
 
 
 class ServerMeasurements:
-    """What this replica has measured of one server.
+    """This replica's measurements of one server.
+
+    In the methods, `objective_ratio` is the typical delay of all servers, divided by the objective; 0 while
+    no answer has been received.
 
     Attributes:
-        calls_in_flight: The calls of this replica that are in flight, by request id, the oldest first.
-        latest_answered_sent_at_ms: When the latest sent of the calls that the server answered was sent.
-        reported_queue: The waiting requests of the server's last load report.
-        reported_at_ms: When it reported them.
-        relative_latency: The server's latency over its peers', averaged.
-        relative_latency_at_ms: When it was last recorded.
-
-    In the methods `objective_ratio` is the typical delay over the objective, of all servers' answers; 0 while
-    there is none.
+        calls_in_flight: This replica's calls in flight at the server, by request id, the oldest first.
+        latest_answered_sent_at_ms: The latest send time of the calls that the server has answered.
+        reported_queue: The number of waiting requests in the server's last load report.
+        reported_at_ms: The time of that load report.
+        relative_latency: The average of the server's latency, divided by the latency of its peers.
+        relative_latency_at_ms: The time at which the relative latency was last recorded.
     """
 
     __slots__ = (
@@ -79,18 +79,22 @@
         return len(self.calls_in_flight)
 
     def record_latency(self, ratio: float, now_ms: float) -> None:
-        """Record the delay of one answer over its peers' typical delay."""
+        """Record the delay of one answer, divided by the typical delay of all servers."""
         relative_latency = self._relative_latency_at(now_ms)
         sample = min(ratio, MAX_LATENCY_RATIO)
         self.relative_latency = relative_latency + (sample - relative_latency) / LATENCY_SAMPLES
         self.relative_latency_at_ms = now_ms
 
     def speed_factor(self, now_ms: float, objective_ratio: float) -> float:
-        """Return the factor of the server's weight, 1 unless it is clearly slower than its peers."""
+        """Return the factor of the server's weight: 1, or less if it is clearly slower than its peers."""
         slowness = SLOW_LATENCY_RATIO
         if self.relative_latency > SLOW_LATENCY_RATIO:
             slowness = max(self._relative_latency_at(now_ms), SLOW_LATENCY_RATIO)
-        if self.calls_in_flight and objective_ratio and (call := self._oldest_unanswered()) is not None:
+        if (
+            self.calls_in_flight
+            and objective_ratio
+            and (call := self._oldest_call_not_overtaken()) is not None
+        ):
             age_ratio = (now_ms - call.sent_at_ms) / (objective_ratio * call.objective_ms)
             slowness = max(slowness, age_ratio / OVERDUE_AGE_RATIO)
         factor = 1.0
@@ -100,7 +104,7 @@
         return factor / (1.0 + queue) ** QUEUE_EXPONENT if queue else factor
 
     def count_stalled_calls(self, now_ms: float, objective_ratio: float) -> int:
-        """Count the calls in flight that the server cannot be working on, as far as can be told."""
+        """Return the number of stalled calls: those in flight that the server seems to have lost."""
         return sum(
             call.sent_at_ms < self.latest_answered_sent_at_ms
             and now_ms - call.sent_at_ms > STALLED_AGE_RATIO * objective_ratio * call.objective_ms
@@ -108,15 +112,15 @@
         )
 
     def next_speed_change_at_ms(self, now_ms: float, objective_ratio: float) -> float:
-        """Return when the speed factor or the stalled calls will have changed notably by time alone."""
+        """Return when time alone will have changed the speed factor notably, or the stalled calls."""
         change_at_ms = math.inf
         relative_latency = 1.0
         if self.relative_latency > SLOW_LATENCY_RATIO:
             relative_latency = self._relative_latency_at(now_ms)
         if relative_latency > SLOW_LATENCY_RATIO:
-            change_at_ms = self._latency_change_at_ms(relative_latency, now_ms)
+            change_at_ms = self._latency_decay_at_ms(relative_latency, now_ms)
         if self.reported_queue and (queue := self._queue_at(now_ms)):
-            change_at_ms = min(change_at_ms, self._queue_change_at_ms(queue, now_ms))
+            change_at_ms = min(change_at_ms, self._queue_decay_at_ms(queue, now_ms))
         if self.calls_in_flight and objective_ratio:
             slowness = max(relative_latency, SLOW_LATENCY_RATIO)
             overdue_at_ms = self._overdue_change_at_ms(slowness, now_ms, objective_ratio)
@@ -132,19 +136,20 @@
         queue = self.reported_queue * math.exp((self.reported_at_ms - now_ms) / QUEUE_DECAY_MS)
         return queue if queue >= MIN_QUEUE else 0.0
 
-    def _oldest_unanswered(self) -> CallInFlight | None:
-        """Return the oldest call in flight that no later one has overtaken; None if there is none."""
-        # A silent or hung server shows by its oldest call long before that times out. A call that later ones
-        # have overtaken shows nothing of the server: its connection died, or it alone takes long. Counting
-        # such calls, two dead connections kept two sound servers out of work for seconds. The price: a server
-        # that answers few calls and loses the rest is noticed only when these time out.
+    def _oldest_call_not_overtaken(self) -> CallInFlight | None:
+        """Return the oldest call in flight of which no later call was answered; None if there is none."""
+        # The age of the oldest call reveals an unresponsive server long before the call times out. A call
+        # that later ones have overtaken is no evidence against the server: its connection was lost, or this
+        # one call takes long. When such calls were counted too, two dead connections kept two healthy servers
+        # idle for seconds. The drawback: a server that answers a few calls and loses the others is detected
+        # only when these time out.
         for call in self.calls_in_flight.values():
             if call.sent_at_ms >= self.latest_answered_sent_at_ms:
                 return call
         return None
 
     @staticmethod
-    def _latency_change_at_ms(relative_latency: float, now_ms: float) -> float:
+    def _latency_decay_at_ms(relative_latency: float, now_ms: float) -> float:
         """Return when the decay of the relative latency will have changed the weight notably."""
         return (
             now_ms
@@ -156,13 +161,13 @@
         )
 
     @staticmethod
-    def _queue_change_at_ms(queue: float, now_ms: float) -> float:
-        """Return when the fading of the reported queue will have changed the weight notably."""
+    def _queue_decay_at_ms(queue: float, now_ms: float) -> float:
+        """Return when the decay of the reported queue will have changed the weight notably."""
         return now_ms + WEIGHT_TOLERANCE * QUEUE_DECAY_MS * (1.0 + queue) / queue / QUEUE_EXPONENT
 
     def _overdue_change_at_ms(self, slowness: float, now_ms: float, objective_ratio: float) -> float:
-        """Return when the oldest unanswered call will have changed the weight notably."""
-        call = self._oldest_unanswered()
+        """Return when the age of the oldest call not overtaken will have changed the weight notably."""
+        call = self._oldest_call_not_overtaken()
         if call is None:
             return math.inf
         overdue_at_ms = call.sent_at_ms + OVERDUE_AGE_RATIO * slowness * objective_ratio * call.objective_ms
@@ -170,7 +175,7 @@
         return max(overdue_at_ms, now_ms + max(MIN_OVERDUE_CHECK_MS, step_ms))
 
     def _next_stall_at_ms(self, now_ms: float, objective_ratio: float) -> float:
-        """Return when the next of the overtaken calls will count as stalled."""
+        """Return when the next overtaken call will be checked for being stalled."""
         next_at_ms = math.inf
         for call in self.calls_in_flight.values():
             stalled_at_ms = call.sent_at_ms + STALLED_AGE_RATIO * objective_ratio * call.objective_ms
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -1,8 +1,9 @@
-"""Selection of the server for an attempt: smooth weighted round robin among the servers of the lowest load.
+"""Server selection: picks the server of an attempt by smooth weighted round robin among the least loaded.
 
-What is worked out for a server is kept in its `SelectionState` and worked out anew when something happens to
-it: an attempt begins or ends, the endpoint list changes, or the moment comes at which its weight, its cold
-budget or its ejection will have changed. So a pick looks at a few servers only, however many there are.
+The values computed for a server are cached in its `SelectionState`. They are computed again when an attempt
+to the server begins or ends, when the endpoint list changes, and at the time at which the server's weight,
+slow-start budget or ejection is due to change. So a pick examines only a few servers, whatever the size of
+the fleet.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 from dataclasses import dataclass
 
 from workspond.policy.call import Call
-from workspond.policy.fleet import Fleet, FleetChange
+from workspond.policy.fleet import Fleet, SubsetChange
 from workspond.policy.request_statistics import TypicalDelay
 from workspond.policy.server import Server
 from workspond.policy.slow_start import SlowStart
 from workspond.policy.weighted_round_robin import Rotation, RotationEntry
 
-MAX_REFRESHED_SERVERS = 8  # that one event refreshes because they are due: bounds the cost of an event
-MAX_GROUP_CANDIDATES = 32  # servers of a deduplication group that are compared for one pick
-MIN_SPEED_FACTOR = 1e-3  # of a server, so that weights differ only so far
-MIN_WEIGHT = 1e-300  # of a server, so that its weight has a logarithm, whatever weight discovery lists
+MAX_REFRESHED_SERVERS = 8  # due servers that one event refreshes; bounds the cost of an event
+MAX_GROUP_CANDIDATES = 32  # servers of a deduplication group that one pick compares
+MIN_SPEED_FACTOR = 1e-3  # bounds the ratio between the weights of servers
+MIN_WEIGHT = 1e-300  # above 0, because the logarithm of the weight is taken whatever weight discovery lists
 
 
 @dataclass(slots=True)
@@ -32,8 +33,8 @@
 
     Attributes:
         server: The server.
-        weight: Its effective weight.
-        load: The calls of this replica that it works on, by subset weight.
+        weight: The server's effective weight.
+        load: The number of this replica's calls that the server is working on, divided by its subset weight.
     """
 
     server: Server
@@ -42,7 +43,7 @@
 
 
 class ServerSelector:
-    """Picks the servers of calls' attempts."""
+    """Picks the server for each attempt."""
 
     def __init__(
         self, fleet: Fleet, slow_start: SlowStart, typical_delay: TypicalDelay, rng: random.Random
@@ -53,34 +54,37 @@
         self._rng = rng
         self._healthy: Rotation[Server] = Rotation()
         self._ejected: Rotation[Server] = Rotation()
-        # A heap of moments and servers. An entry is invalid if the server's `refresh_at_ms` differs by now.
+        # A heap of refresh time, serial number and server. An entry whose time differs from the server's
+        # `refresh_at_ms` is outdated.
         self._refresh_queue: list[tuple[float, int, Server]] = []
         self._refresh_serials = itertools.count()
-        self._total_weight = 0.0  # of the servers in the subset whose cold budget allows an attempt
-        self._last_round_weight = 0.0  # the sum of the weights that took part in the last round
+        self._total_weight = 0.0  # of the servers in the subset whose slow-start budget allows an attempt
+        self._last_round_total_weight = 0.0  # of the servers that took part in the last round
         self._stalled_calls = 0
         self._ejected_count = 0
 
     # State of the servers
 
-    def apply(self, change: FleetChange, now_ms: float) -> None:
-        """Take over a change of this replica's subset of the servers."""
+    def apply(self, change: SubsetChange, now_ms: float) -> None:
+        """Apply a change of this replica's subset of the servers."""
         for server in change.removed:
-            self._forget(server)
+            self._remove(server)
         for server in change.updated:
             self.update(server, now_ms)
 
     def update(self, server: Server, now_ms: float) -> None:
-        """Work out a server's selection state anew, if it is in this replica's subset."""
+        """Compute a server's selection state again, if the server is in this replica's subset."""
         if not self._fleet.is_in_subset(server):
             return
         objective_ratio = self._typical_delay.objective_ratio
         capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
-        has_budget = capacity_fraction >= 1.0 or self._has_cold_budget(server, capacity_fraction, now_ms)
-        weight = self._weight_of(server, capacity_fraction, now_ms)
+        has_budget = capacity_fraction >= 1.0 or self._has_slow_start_budget(
+            server, capacity_fraction, now_ms
+        )
+        weight = self._effective_weight(server, capacity_fraction, now_ms)
         stalled_calls = server.count_stalled_calls(now_ms, objective_ratio) if server.calls_in_flight else 0
         is_ejected = now_ms < server.ejected_until_ms
-        self._count(server, weight if has_budget else 0.0, stalled_calls, is_ejected=is_ejected)
+        self._update_totals(server, weight if has_budget else 0.0, stalled_calls, is_ejected=is_ejected)
         selectable = has_budget and server.in_flight < server.in_flight_limit
         rotation = (self._ejected if is_ejected else self._healthy) if selectable else None
         self._place(server, rotation, (server.in_flight - stalled_calls) / server.subset_weight, weight)
@@ -92,26 +96,26 @@
             server, min(refresh_at_ms, server.ejected_until_ms) if is_ejected else refresh_at_ms
         )
 
-    def _has_cold_budget(self, server: Server, capacity_fraction: float, now_ms: float) -> bool:
-        """Whether the budget of a server that is warming up allows an attempt."""
+    def _has_slow_start_budget(self, server: Server, capacity_fraction: float, now_ms: float) -> bool:
+        """Return whether the budget of a server that is warming up allows an attempt."""
         tokens = self._slow_start.refill_slow_start_budget(
             server, capacity_fraction, self._fleet.total_subset_weight, now_ms
         )
         return tokens >= 1.0
 
-    def _weight_of(self, server: Server, capacity_fraction: float, now_ms: float) -> float:
-        """Return the effective weight: the subset weight times how fast the server is."""
+    def _effective_weight(self, server: Server, capacity_fraction: float, now_ms: float) -> float:
+        """Return the effective weight: the subset weight times the capacity fraction and the speed factor."""
         speed_factor = server.speed_factor(now_ms, self._typical_delay.objective_ratio)
         return max(server.subset_weight * max(capacity_fraction * speed_factor, MIN_SPEED_FACTOR), MIN_WEIGHT)
 
-    def _forget(self, server: Server) -> None:
-        """Drop a server that has left this replica's subset."""
+    def _remove(self, server: Server) -> None:
+        """Remove a server that has left this replica's subset."""
         server.selection.leave_rotation()
-        self._count(server, 0.0, 0, is_ejected=False)
+        self._update_totals(server, 0.0, 0, is_ejected=False)
         server.selection.refresh_at_ms = math.inf
 
-    def _count(self, server: Server, weight: float, stalled_calls: int, *, is_ejected: bool) -> None:
-        """Replace a server's part of the totals."""
+    def _update_totals(self, server: Server, weight: float, stalled_calls: int, *, is_ejected: bool) -> None:
+        """Replace a server's contribution to the totals."""
         state = server.selection
         self._total_weight += weight - state.counted_weight
         self._stalled_calls += stalled_calls - state.stalled_calls
@@ -121,7 +125,7 @@
         state.is_ejected = is_ejected
 
     def _place(self, server: Server, rotation: Rotation[Server] | None, load: float, weight: float) -> None:
-        """Move a server to a rotation, or out of all (None); it keeps its current weight."""
+        """Move a server to a rotation, or out of its rotation (None); it keeps its current weight."""
         state = server.selection
         entry = state.rotation_entry
         if entry is not None:
@@ -130,14 +134,14 @@
                 return
             state.leave_rotation()
         if not state.effective_weight:
-            self._draw_current_weight(server, weight)
+            self._randomize_current_weight(server, weight)
         state.effective_weight = weight
         if rotation is not None:
             state.rotation_entry = rotation.add(server, load, weight, state.current_weight)
 
-    def _draw_current_weight(self, server: Server, weight: float) -> None:
-        """Give a new server a random place in the round, so that replicas do not go round in step."""
-        server.selection.current_weight = -self._rng.random() * max(weight, self._last_round_weight)
+    def _randomize_current_weight(self, server: Server, weight: float) -> None:
+        """Give a new server a random current weight, so that replicas do not pick in the same order."""
+        server.selection.current_weight = -self._rng.random() * max(weight, self._last_round_total_weight)
 
     def _schedule_refresh(self, server: Server, refresh_at_ms: float) -> None:
         state = server.selection
@@ -146,7 +150,7 @@
         state.refresh_at_ms = refresh_at_ms
 
     def refresh_due(self, now_ms: float) -> None:
-        """Update the servers that are due, the longest due first, up to `MAX_REFRESHED_SERVERS`."""
+        """Update at most `MAX_REFRESHED_SERVERS` servers that are due, in the order of their due times."""
         refreshed = 0
         queue = self._refresh_queue
         while queue and queue[0][0] <= now_ms and refreshed < MAX_REFRESHED_SERVERS:
@@ -156,7 +160,7 @@
                 refreshed += 1
 
     def count_stalled_calls(self, now_ms: float) -> int:
-        """Count the calls in flight that no server can be working on, as far as can be told."""
+        """Return the number of stalled calls: those in flight that their servers seem to have lost."""
         self.refresh_due(now_ms)
         return self._stalled_calls
 
@@ -179,17 +183,17 @@
         if previous is not None:
             rotation = self._active_rotation()
             entry = previous.selection.rotation_entry
-            # A retry goes to another server than the last attempt, where there is a choice.
+            # A retry goes to another server than the last attempt, if there is another one.
             if entry is not None and entry.rotation is rotation and rotation.size > 1:
-                return self._pick_other(previous, entry, now_ms)
+                return self._pick_excluding(previous, entry, now_ms)
         return self._pick_first(now_ms)
 
     def _active_rotation(self) -> Rotation[Server]:
-        """Return the rotation that picks come from: ejected servers only where there are no others."""
+        """Return the rotation to pick from: the ejected servers only if there are no healthy ones."""
         return self._healthy if self._healthy.size else self._ejected
 
-    def _pick_other(self, excluded: Server, entry: RotationEntry[Server], now_ms: float) -> Server:
-        """Pick any server but one; that one only if no other is left."""
+    def _pick_excluding(self, excluded: Server, entry: RotationEntry[Server], now_ms: float) -> Server:
+        """Pick a server other than `excluded`, or that one if there is no other."""
         rotation = entry.rotation
         load = entry.load
         state = excluded.selection
@@ -199,26 +203,26 @@
         return picked if picked is not None else excluded
 
     def _pick_first(self, now_ms: float) -> Server | None:
-        """Pick the server that the next round picks, and complete the round."""
+        """Complete the next round; return the server that it picks, or None if no server may be picked."""
         entry = self._first_entry(now_ms)
         if entry is None:
             return None
-        self._last_round_weight = entry.rotation.finish_round(entry)
+        self._last_round_total_weight = entry.rotation.finish_round(entry)
         return entry.item
 
     def _first_entry(self, now_ms: float) -> RotationEntry[Server] | None:
         """Return the entry that the next round picks, with its server's state up to date."""
         while True:
-            # Only servers of the lowest load are picked. So a slow or stuck server, which shows first by the
-            # calls that it holds, is passed over until its peers hold as many. If one more call were allowed,
-            # calls would wait behind others while a server that works on one at a time stands idle.
+            # Only servers of the lowest load are picked. A slow or stuck server first shows by its calls in
+            # flight, so it is skipped until its peers have as many. If one more call than the lowest load
+            # were allowed, calls would wait behind others while a server that works on one at a time is idle.
             entry = self._active_rotation().first()
             if entry is None or entry.item.selection.refresh_at_ms > now_ms:
                 return entry
             self.update(entry.item, now_ms)
 
     def _pick_in_group(self, call: Call, now_ms: float) -> Server | None:
-        """Pick a server for a call that may have run: one of those that drop a repeat of it."""
+        """Pick a server for a call that may have run: one of those that would drop a repeat of it."""
         candidates = self._group_candidates(call, now_ms)
         min_load = min((candidate.load for candidate in candidates), default=0.0)
         candidates = [candidate for candidate in candidates if candidate.load <= min_load]
@@ -229,19 +233,19 @@
         picked = max(
             candidates, key=lambda candidate: candidate.server.selection.latest_current_weight()
         ).server
-        self._last_round_weight = sum(candidate.weight for candidate in candidates)
-        picked.selection.add_current_weight(-self._last_round_weight)
+        self._last_round_total_weight = sum(candidate.weight for candidate in candidates)
+        picked.selection.add_current_weight(-self._last_round_total_weight)
         return picked
 
     def _group_candidates(self, call: Call, now_ms: float) -> list[Candidate]:
         """Return the usable servers of a call's deduplication group.
 
-        Ejected servers are among them only if there are no others. The server of the last attempt is among
-        them only if there is no other.
+        Ejected servers are included only if there are no others, and the server of the last attempt only if
+        it is the only candidate.
         """
         drawn = [
             self._candidate(server, now_ms)
-            for server in self._fleet.draw_deduplication_group(call, MAX_GROUP_CANDIDATES)
+            for server in self._fleet.sample_deduplication_group(call, MAX_GROUP_CANDIDATES)
         ]
         usable = [candidate for candidate in drawn if candidate is not None]
         healthy = [candidate for candidate in usable if now_ms >= candidate.server.ejected_until_ms]
@@ -251,17 +255,17 @@
         return candidates
 
     def _candidate(self, server: Server, now_ms: float) -> Candidate | None:
-        """Return a server as a candidate of a group; None if it may get no attempt now."""
+        """Return a server of a deduplication group as a candidate; None if it may get no attempt now."""
         if self._fleet.is_in_subset(server):
             return self._subset_candidate(server, now_ms)
         if server.in_flight >= server.in_flight_limit or not server.subset_weight:
             return None
         capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
-        if capacity_fraction < 1.0 and not self._has_cold_budget(server, capacity_fraction, now_ms):
+        if capacity_fraction < 1.0 and not self._has_slow_start_budget(server, capacity_fraction, now_ms):
             return None
-        weight = self._weight_of(server, capacity_fraction, now_ms)
+        weight = self._effective_weight(server, capacity_fraction, now_ms)
         if not server.selection.effective_weight:
-            self._draw_current_weight(server, weight)
+            self._randomize_current_weight(server, weight)
             server.selection.effective_weight = weight
         stalled_calls = server.count_stalled_calls(now_ms, self._typical_delay.objective_ratio)
         return Candidate(server, weight, (server.in_flight - stalled_calls) / server.subset_weight)
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -1,6 +1,7 @@
-"""Slow start: a server that is warming up gets the weight of its capacity, and a token bucket.
+"""Slow start: a server that is warming up gets a lower weight, and a token bucket limits its attempts.
 
-The stated figures come from the rules in the settings; how the capacity of a server is estimated is ours.
+The start capacity, the ramp time and the overload limits come from the settings. The settings state no
+absolute capacity: it is estimated from the responses of warm servers.
 """
 
 from __future__ import annotations
@@ -13,31 +14,34 @@
 from workspond.policy.server_measurements import WEIGHT_TOLERANCE
 from workspond.policy.settings import Settings
 
-COLD_BUDGET_FRACTION = 0.5  # of the stated cold budget: what all replicas together use
-# A server whose budget is used up is looked at again after this fraction of the wait for the next token, as
-# the rate grows meanwhile ...
+# All replicas together use this fraction of the attempts that the settings allow a server that is warming up.
+SLOW_START_BUDGET_FRACTION = 0.5
+# A server without budget is checked again after this fraction of the wait for the next token, because the
+# refill rate grows during the wait.
 BUDGET_CHECK_FRACTION = 0.7
-MIN_BUDGET_CHECK_MS = 20.0  # ... but not sooner than this, unless the wait itself is shorter,
-MAX_BUDGET_CHECK_MS = 100.0  # ... nor later: a long wait ends early when the peers answer ten times as much
-# A server may have no capacity at all at first: the step to its next look is that of at least this fraction.
+MIN_BUDGET_CHECK_MS = 20.0  # minimum time until that check, unless the wait itself is shorter
+# Maximum time until that check: if the peers answer ten times as many calls, a long wait ends early.
+MAX_BUDGET_CHECK_MS = 100.0
+# A server may have no capacity at first: the time until its next check is computed from at least this
+# fraction.
 MIN_STEP_CAPACITY_FRACTION = 0.01
-MIN_CHECK_MS = 0.1  # before the next look, so that rounding errors do not cause looks without end
+MIN_CHECK_MS = 0.1  # minimum time until the next check, so that rounding errors cause no endless loop
 
 
 class SlowStart:
-    """The capacity of servers that are warming up, and what this replica may send them."""
+    """Estimates the capacity of servers that are warming up, and limits the attempts sent to them."""
 
     def __init__(self, settings: Settings, controller: RetryController) -> None:
         self._settings = settings
         self._controller = controller
         self._max_objective_ms = max(request_class.objective_ms for request_class in settings.classes)
-        # The fraction of the servers in service that is warm, over the time that the response rate is of.
+        # The available fraction of the subset's weight, averaged over the same time as the response rate.
         self._warm_fraction = TimeWeightedMean(RATE_WINDOW_MS)
-        # The responses per ms of a warm server of weight 1, over the time in which a server warms up.
+        # The responses per ms of a warm server of weight 1, averaged over at least the time of a ramp.
         self._capacity_per_ms = TimeWeightedMean(max(RATE_WINDOW_MS, settings.ramp_time_ms))
 
     def capacity_fraction(self, server: Server, now_ms: float) -> float:
-        """Return the fraction of its capacity that a server certainly has by now."""
+        """Return the fraction of its full capacity that a server has at `now_ms` by the settings."""
         settings = self._settings
         if server.started_at_ms is None or not settings.ramp_time_ms:
             return 1.0
@@ -45,44 +49,47 @@
         return settings.start_capacity + (1.0 - settings.start_capacity) * ramp
 
     def record_warm_fraction(self, fraction: float, now_ms: float) -> None:
-        """Record what fraction of the subset's weight is available from now on."""
+        """Record the fraction of the subset's weight that is available from `now_ms` on."""
         self._warm_fraction.record(fraction, now_ms)
 
     def refill_slow_start_budget(
         self, server: Server, capacity_fraction: float, total_subset_weight: float, now_ms: float
     ) -> float:
-        """Refill the budget that this replica has for a server that is warming up.
+        """Refill this replica's budget of attempts to a server that is warming up.
 
         Args:
             server: The server.
-            capacity_fraction: Its capacity fraction by now.
-            total_subset_weight: The weight of this replica's subset of all servers.
-            now_ms: The time.
+            capacity_fraction: The current capacity fraction of the server.
+            total_subset_weight: The sum of the subset weights of this replica's subset.
+            now_ms: The current time in ms.
 
         Returns:
             The budget, in attempts.
         """
         capacity_per_ms = self._server_capacity_per_ms(server, total_subset_weight, now_ms)
-        per_ms = COLD_BUDGET_FRACTION * self._settings.overload_factor * capacity_fraction * capacity_per_ms
-        # Between two refills the rate grew steadily: what came in is that of the mean of both rates.
+        per_ms = (
+            SLOW_START_BUDGET_FRACTION * self._settings.overload_factor * capacity_fraction * capacity_per_ms
+        )
+        # The rate has grown steadily since the last refill, so the refill uses the mean of both rates.
         mean_per_ms = (per_ms + (server.slow_start_budget_per_ms or per_ms)) / 2.0
         server.slow_start_budget_per_ms = per_ms
         max_tokens = max(1.0, per_ms * self._settings.overload_window_ms)
         return server.slow_start_budget.refill(mean_per_ms, max_tokens, now_ms)
 
     def _server_capacity_per_ms(self, server: Server, total_subset_weight: float, now_ms: float) -> float:
-        """Estimate, from its peers' responses, the responses per ms of this replica's part of a warm server.
+        """Estimate the responses per ms that this replica would get from the server if it were warm.
 
-        The responses are taken over the weight that the peers had meanwhile. Over the weight of this moment,
-        servers that all restart at once looked five times as capable as they were.
+        The estimate is the rate of all responses, divided by the weight that was warm during the time of that
+        rate. Divided by the weight that is warm now, it was five times too high when all servers restarted at
+        once.
         """
         warm_weight = max(self._warm_fraction.value * total_subset_weight, server.subset_weight)
         responses_per_ms = self._controller.response_rate.per_s() / warm_weight / 1000.0
         self._capacity_per_ms.record(responses_per_ms, now_ms)
-        # The mean too, as a lull takes nothing from what the servers are capable of.
+        # At least the mean counts, because low traffic does not lower the capacity of the servers.
         estimate_per_ms = max(responses_per_ms, self._capacity_per_ms.value) * server.subset_weight
-        # A new replica has no responses to estimate from, and would never get any where all servers are cold.
-        # A server that can answer within the objective at all works off one call in each.
+        # A new replica has no responses to estimate from, and would never get any if all servers were cold. A
+        # server that can answer within the objective at all completes one call per objective.
         return max(estimate_per_ms, server.subset_weight / self._max_objective_ms)
 
     def next_change_at_ms(self, server: Server, capacity_fraction: float, now_ms: float) -> float:
@@ -92,7 +99,8 @@
         if server.slow_start_budget.tokens >= 1.0 or not server.slow_start_budget_per_ms:
             step = WEIGHT_TOLERANCE * max(capacity_fraction, MIN_STEP_CAPACITY_FRACTION)
             return now_ms + step * self._settings.ramp_time_ms + MIN_CHECK_MS
-        # Not the whole wait: the rate grows as the server gets warmer, and as its peers answer more.
+        # The check comes before the end of the wait, because the rate grows as the server warms up and as its
+        # peers answer more calls.
         wait_ms = (1.0 - server.slow_start_budget.tokens) / server.slow_start_budget_per_ms
         check_ms = min(max(MIN_BUDGET_CHECK_MS, BUDGET_CHECK_FRACTION * wait_ms), MAX_BUDGET_CHECK_MS)
         return now_ms + min(wait_ms, check_ms) + MIN_CHECK_MS
--- a/workspond/policy/subset.py
+++ b/workspond/policy/subset.py
@@ -1,8 +1,8 @@
-"""Deterministic subsetting: which portion of each server's weight a replica uses, updated by changes.
+"""Deterministic subsetting with incremental updates: the portion of each server's weight that a replica uses.
 
 All members are shuffled several times, in the same way at every replica. Each shuffle is cut into as many
-slices as there are replicas, one for each. So all replicas together use every member in proportion to its
-weight.
+slices of equal weight as there are replicas, and each replica uses one slice of each shuffle. So all replicas
+together use every member in proportion to its weight.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from collections import Counter
 from random import Random
 
-MIN_REBUILD_CHANGES = 64  # changed members at once, from which on shuffles are sorted anew
-MIN_PORTION_FRACTION = 1e-9  # of a member's weight: a smaller portion is a rounding error
+MIN_REBUILD_CHANGES = 64  # with fewer changed members, they are inserted and removed one by one
+MIN_PORTION_FRACTION = 1e-9  # a smaller fraction of a member's weight is a rounding error
 
 
 class Shuffle:
-    """All members in an order that depends on the shuffle's number only."""
+    """All members in a pseudo-random order that depends on the number of the shuffle only."""
 
     def __init__(self, number: int) -> None:
         self._factor = Random(number).getrandbits(32) | 1
-        self._order: list[tuple[int, int]] = []  # hash and member, sorted
+        self._order: list[tuple[int, int]] = []  # sorted pairs of hash and member
 
     def _sort_key(self, member: int) -> tuple[int, int]:
         return member * self._factor % 2**32, member
@@ -32,15 +32,18 @@
         self._order = sorted(map(self._sort_key, members))
 
     def insert(self, member: int) -> None:
-        """Add a member; it must not be one yet."""
+        """Add a member; it must not be in the shuffle yet."""
         insort(self._order, self._sort_key(member))
 
     def remove(self, member: int) -> None:
-        """Remove a member; it must be one."""
+        """Remove a member; it must be in the shuffle."""
         del self._order[bisect_left(self._order, self._sort_key(member))]
 
-    def cut_equal(self, start: float, end: float, weight: float) -> dict[int, float]:
-        """Cut out the portions from `start` to `end` where all members have the same weight."""
+    def cut_equal_weights(self, start: float, end: float, weight: float) -> dict[int, float]:
+        """Return the portions of members between `start` and `end` if all members have the same weight.
+
+        The members' weights are laid end to end; `start` and `end` are positions on that line.
+        """
         portions = {}
         last = min(len(self._order), math.ceil(end / weight))
         for position in range(int(start / weight), last):
@@ -50,7 +53,7 @@
         return portions
 
     def cut(self, start: float, end: float, weights: dict[int, float]) -> dict[int, float]:
-        """Cut out the portions from `start` to `end` of all weights, laid end to end."""
+        """Return the portions of members between `start` and `end`, with all weights laid end to end."""
         members = [member for _, member in self._order]
         ends = list(itertools.accumulate(weights[member] for member in members))
         portions = {}
@@ -66,54 +69,55 @@
 
 
 class Subset:
-    """The portions of all members that one replica uses.
+    """The portions of the members' weights that one replica uses.
 
     Attributes:
-        slices: The number of slices that the replica uses; with as many as there are replicas it uses all.
-        portions: The portion of each member that the replica uses, as of the last update.
+        slice_count: The number of slices that the replica uses. If it is at least the number of replicas, the
+            replica uses all members with their whole weights.
+        portions: The portion of each member's weight that the replica uses, as of the last update.
     """
 
-    def __init__(self, replica_index: int, replicas: int, slices: int) -> None:
-        self._replica_index = replica_index % replicas  # one beyond their count would get no slice
+    def __init__(self, replica_index: int, replicas: int, slice_count: int) -> None:
+        self._replica_index = replica_index % replicas  # without the modulo, a larger index has no slice
         self._replicas = replicas
-        self.slices = slices
+        self.slice_count = slice_count
         self._weights: dict[int, float] = {}
-        self._weight_counts: Counter[float] = Counter()  # the number of members by weight
-        self._changed: set[int] = set()
-        self._slices_changed = False
+        self._weight_counts: Counter[float] = Counter()  # number of members by weight
+        self._changed_members: set[int] = set()
+        self._slice_count_changed = False
         self._shuffles: list[Shuffle] = []
-        self._shuffled: set[int] = set()  # the members that the shuffles hold
+        self._shuffled_members: set[int] = set()  # the members of all shuffles
         self.portions: dict[int, float] = {}
 
     def __len__(self) -> int:
         return len(self._weights)
 
     def set_weight(self, member: int, weight: float) -> None:
-        """Add a member, or change its weight, from the next update on."""
+        """Add a member or change its weight; this takes effect with the next update."""
         if self._weights.get(member) != weight:
-            self._uncount_weight(member)
+            self._decrement_weight_count(member)
             self._weights[member] = weight
             self._weight_counts[weight] += 1
-            self._changed.add(member)
+            self._changed_members.add(member)
 
     def remove(self, member: int) -> None:
-        """Remove a member, if it is one, from the next update on."""
+        """Remove a member, if there is one of this id; this takes effect with the next update."""
         if member in self._weights:
-            self._uncount_weight(member)
+            self._decrement_weight_count(member)
             del self._weights[member]
-            self._changed.add(member)
+            self._changed_members.add(member)
 
-    def _uncount_weight(self, member: int) -> None:
+    def _decrement_weight_count(self, member: int) -> None:
         weight = self._weights.get(member)
         if weight is not None:
             self._weight_counts[weight] -= 1
             if not self._weight_counts[weight]:
                 del self._weight_counts[weight]
 
-    def use_slices(self, slices: int) -> None:
-        """Use so many slices from the next update on."""
-        self._slices_changed = self._slices_changed or slices != self.slices
-        self.slices = slices
+    def set_slice_count(self, slice_count: int) -> None:
+        """Set the number of slices to use; this takes effect with the next update."""
+        self._slice_count_changed = self._slice_count_changed or slice_count != self.slice_count
+        self.slice_count = slice_count
 
     def update(self) -> set[int]:
         """Bring `portions` up to date.
@@ -121,21 +125,21 @@
         Returns:
             The members that were set or removed since the last update, or whose portion has changed.
         """
-        changed = self._changed
-        self._changed = set()
-        if not changed and not self._slices_changed:
+        changed = self._changed_members
+        self._changed_members = set()
+        if not changed and not self._slice_count_changed:
             return set()
-        if self.slices >= self._replicas:
+        if self.slice_count >= self._replicas:
             self._shuffles.clear()
-            return self._use_all(changed)
-        self._slices_changed = False
+            return self._use_whole_fleet(changed)
+        self._slice_count_changed = False
         self._update_shuffles(changed)
         return self._replace_portions(self._cut_slices()) | changed
 
-    def _use_all(self, changed: set[int]) -> set[int]:
-        """Use the whole weight of all members."""
-        if self._slices_changed:
-            self._slices_changed = False
+    def _use_whole_fleet(self, changed: set[int]) -> set[int]:
+        """Use all members with their whole weights; return the members that may have changed."""
+        if self._slice_count_changed:
+            self._slice_count_changed = False
             all_weights = {member: weight for member, weight in self._weights.items() if weight}
             return self._replace_portions(all_weights) | changed
         for member in changed:
@@ -147,31 +151,31 @@
         return changed
 
     def _update_shuffles(self, changed: set[int]) -> None:
-        """Bring the number of shuffles and their members up to date."""
-        del self._shuffles[self.slices :]
+        """Update the number of shuffles and their members."""
+        del self._shuffles[self.slice_count :]
         if len(changed) >= MIN_REBUILD_CHANGES or not self._shuffles:
             self._shuffles.clear()
-            self._shuffled = set(self._weights)
+            self._shuffled_members = set(self._weights)
         for member in changed:
             self._update_member(member)
-        while len(self._shuffles) < self.slices:
+        while len(self._shuffles) < self.slice_count:
             shuffle = Shuffle(len(self._shuffles))
             shuffle.rebuild(self._weights)
             self._shuffles.append(shuffle)
 
     def _update_member(self, member: int) -> None:
         """Add a changed member to the shuffles, or remove it from them."""
-        if member in self._weights and member not in self._shuffled:
-            self._shuffled.add(member)
+        if member in self._weights and member not in self._shuffled_members:
+            self._shuffled_members.add(member)
             for shuffle in self._shuffles:
                 shuffle.insert(member)
-        elif member in self._shuffled and member not in self._weights:
-            self._shuffled.remove(member)
+        elif member in self._shuffled_members and member not in self._weights:
+            self._shuffled_members.remove(member)
             for shuffle in self._shuffles:
                 shuffle.remove(member)
 
     def _cut_slices(self) -> dict[int, float]:
-        """Cut this replica's slice out of each shuffle, and add up the portions by member."""
+        """Cut this replica's slice out of each shuffle, and sum the portions by member."""
         total_weight = math.fsum(weight * count for weight, count in self._weight_counts.items())
         slice_weight = total_weight / self._replicas
         start = self._replica_index * slice_weight
@@ -180,7 +184,7 @@
         portions: dict[int, float] = {}
         for shuffle in self._shuffles:
             if equal_weight:
-                cut = shuffle.cut_equal(start, end, equal_weight)
+                cut = shuffle.cut_equal_weights(start, end, equal_weight)
             else:
                 cut = shuffle.cut(start, end, self._weights)
             for member, portion in cut.items():
--- a/workspond/policy/weighted_round_robin.py
+++ b/workspond/policy/weighted_round_robin.py
@@ -1,14 +1,14 @@
-"""Smooth weighted round robin whose cost of a pick does not grow with the number of items.
+"""Smooth weighted round robin in which the cost of a pick does not grow with the number of items.
 
-In the plain form, each round adds to the current weight of each item its effective weight. The item with the
-highest current weight is picked, and the sum of all effective weights is subtracted from it. Only the items
-with the lowest load take part in a round, as only they may be picked.
+The standard algorithm adds to the current weight of each item its effective weight in every round. It picks
+the item with the highest current weight and subtracts the sum of all effective weights from it. Here only the
+items with the lowest load take part in a round, because only they may be picked.
 
-Here items of equal load and equal rounded weight form a group. What the members of a group have gained is one
-product for all of them: rounds times rounded weight. Each group keeps a heap of its members by what they had
-before, so a pick compares only the first member of each group. Weights are rounded so that there are few
-groups. The picked item pays by the same factor, so that in the long run each item is picked exactly in
-proportion to its effective weight.
+Items of equal load and equal rounded weight form a group. All members of a group have gained the same weight:
+the number of rounds times the rounded weight. Each group keeps its members in a heap, ordered by current
+weight without that gain, so a pick compares only the first member of each group. Weights are rounded to keep
+the number of groups small. The weight subtracted from a picked item is scaled by the ratio of its rounded
+weight to its exact one, so in the long run each item is picked exactly in proportion to its effective weight.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 import math
 from typing import Generic, TypeVar
 
-STEPS_PER_DOUBLING = 8  # of rounded weights: a rounded weight differs from the exact one by 4.5 % at most
-# Of a sum of weights. A weight that is a larger fraction is not subtracted from the sum, as what is left
-# would be mostly rounding errors: the sum is computed anew.
+STEPS_PER_DOUBLING = 8  # a rounded weight differs from the exact one by at most 4.5 %
+# Subtracting a larger fraction from a sum of weights could leave mostly rounding errors, so the sum is
+# computed again instead.
 MAX_SUBTRACTED_FRACTION = 0.5
-MIN_COMPACTED_SIZE = 16  # entries; a heap of fewer is not worth a compaction
-REMOVED = -1  # the serial number of an entry that has been removed from its rotation
+MIN_COMPACTED_SIZE = 16  # heap entries; a compaction of fewer does not pay off
+REMOVED = -1  # serial number of an entry that has been removed from its rotation
 
 ItemT = TypeVar("ItemT")
 
 
-def rounded(weight: float) -> float:
-    """Return a weight rounded to the nearest of `STEPS_PER_DOUBLING` steps per factor of two."""
+def round_weight(weight: float) -> float:
+    """Return a weight rounded on a logarithmic scale with `STEPS_PER_DOUBLING` steps per factor of two."""
     exponent: float = round(math.log2(weight) * STEPS_PER_DOUBLING) / STEPS_PER_DOUBLING
     return math.pow(2.0, exponent)
 
@@ -39,10 +39,11 @@
 
     Attributes:
         item: The member.
-        group: The group of the rotation that the item belongs to.
-        effective_weight: The exact weight by which the item is picked.
-        base_weight: The current weight less what the group has gained since its load level began.
-        serial: The number of the one heap entry that is valid; `REMOVED` after the item was removed.
+        group: The group that the item belongs to.
+        effective_weight: The exact weight in proportion to which the item is picked.
+        base_weight: The current weight minus the weight that the group has gained.
+        serial: The serial number of the item's only valid heap entry; `REMOVED` once the item has been
+            removed.
     """
 
     __slots__ = ("item", "group", "effective_weight", "base_weight", "serial")
@@ -73,7 +74,7 @@
 
     @property
     def load(self) -> float:
-        """The load with which the item was added."""
+        """The load that was given when the item was added."""
         return self.group.level.load
 
 
@@ -85,13 +86,14 @@
     def __init__(self, level: LoadLevel[ItemT], rounded_weight: float) -> None:
         self.level = level
         self.rounded_weight = rounded_weight
-        # Negated base weight, serial number, entry. Invalid where the entry has another serial number by now.
+        # Tuples of negated base weight, serial number and entry. A tuple is outdated if its serial number
+        # differs from the entry's.
         self.heap: list[tuple[float, int, RotationEntry[ItemT]]] = []
         self.size = 0
 
     @property
     def gained_weight(self) -> float:
-        """What each member has gained in all rounds of the load level."""
+        """The weight that each member has gained in all rounds of the load level."""
         return self.rounded_weight * self.level.rounds
 
     def first(self) -> RotationEntry[ItemT]:
@@ -102,14 +104,14 @@
         return heap[0][2]
 
     def compact(self) -> None:
-        """Drop the invalid entries of the heap once they are the majority."""
+        """Remove the outdated tuples from the heap once they are the majority."""
         if len(self.heap) > MIN_COMPACTED_SIZE + 2 * self.size:
             self.heap = [heap_entry for heap_entry in self.heap if heap_entry[1] == heap_entry[2].serial]
             heapq.heapify(self.heap)
 
 
 class LoadLevel(Generic[ItemT]):
-    """Members of equal load; they take part in the same rounds."""
+    """Members of equal load, which take part in the same rounds."""
 
     __slots__ = ("rotation", "load", "groups", "rounds", "total_weight")
 
@@ -126,7 +128,7 @@
         return max(candidates, key=lambda entry: entry.current_weight + entry.group.rounded_weight)
 
     def subtract_weight(self, weight: float) -> None:
-        """Subtract the weight of a member that has been removed from the total."""
+        """Subtract the weight of a removed member from the total weight."""
         if weight <= MAX_SUBTRACTED_FRACTION * self.total_weight:
             self.total_weight -= weight
             return
@@ -139,11 +141,11 @@
 
 
 class Rotation(Generic[ItemT]):
-    """Items by load; those of the lowest load are picked by smooth weighted round robin."""
+    """Picks items of the lowest load by smooth weighted round robin."""
 
     def __init__(self) -> None:
         self._levels: dict[float, LoadLevel[ItemT]] = {}
-        self._loads: list[float] = []  # a heap of the levels' loads; those of removed levels may linger
+        self._loads: list[float] = []  # a heap of the levels' loads; may contain loads of removed levels
         self._serials = itertools.count()
         self.size = 0
 
@@ -154,18 +156,18 @@
 
         Args:
             item: The item; it must not be a member.
-            load: Its load; only the items of the lowest load are picked.
-            effective_weight: The weight by which it is picked; above 0.
-            current_weight: Where it starts; what it had when it was last removed.
+            load: The item's load; only items of the lowest load are picked.
+            effective_weight: The weight in proportion to which the item is picked; must be above 0.
+            current_weight: The initial current weight: that of the item's last removal from a rotation.
 
         Returns:
-            The entry by which the item is removed or adjusted.
+            The entry of the item, for `remove` and `add_current_weight`.
         """
         level = self._levels.get(load)
         if level is None:
             level = self._levels[load] = LoadLevel(self, load)
             self._push_load(load)
-        rounded_weight = rounded(effective_weight)
+        rounded_weight = round_weight(effective_weight)
         group = level.groups.get(rounded_weight)
         if group is None:
             group = level.groups[rounded_weight] = WeightGroup(level, rounded_weight)
@@ -179,7 +181,7 @@
         return entry
 
     def _push_load(self, load: float) -> None:
-        """Add a new level's load to the heap; drop removed levels' loads once they are the majority."""
+        """Add a new level's load to the heap; if most loads in it are of removed levels, rebuild the heap."""
         if len(self._loads) > MIN_COMPACTED_SIZE + 2 * len(self._levels):
             self._loads = list(self._levels)
             heapq.heapify(self._loads)
@@ -187,7 +189,7 @@
             heapq.heappush(self._loads, load)
 
     def remove(self, entry: RotationEntry[ItemT]) -> None:
-        """Remove a member; the entry cannot be used again."""
+        """Remove a member; its entry must not be used afterwards."""
         group = entry.group
         level = group.level
         entry.serial = REMOVED
@@ -211,10 +213,10 @@
         return self._levels[self._loads[0]].first()
 
     def finish_round(self, picked: RotationEntry[ItemT]) -> float:
-        """Complete a round: all members of the picked one's level gain, and the picked one pays.
+        """Complete a round: raise all current weights of the picked member's level, then lower its own.
 
         Returns:
-            The sum of the effective weights that took part.
+            The sum of the effective weights of the level's members.
         """
         level = picked.group.level
         level.rounds += 1
@@ -224,7 +226,7 @@
         return level.total_weight
 
     def add_current_weight(self, entry: RotationEntry[ItemT], weight: float) -> None:
-        """Add to a member's current weight; a negative weight is subtracted."""
+        """Add a weight, which may be negative, to a member's current weight."""
         entry.base_weight += weight
         entry.serial = next(self._serials)
         heapq.heappush(entry.group.heap, (-entry.base_weight, entry.serial, entry))
