--- a/workspond/policy/deduplication_groups.py
+++ b/workspond/policy/deduplication_groups.py
@@ -10,9 +10,8 @@
 from workspond.policy.server import Server
 from workspond.policy.settings import DeduplicationScope
 
-GroupKey = tuple[
-    DeduplicationScope, str | int | None
-]  # the scope, and the zone or cell; None for all servers
+# The scope, and the zone or cell that identifies the group in it; None for the group of all servers.
+GroupKey = tuple[DeduplicationScope, str | int | None]
 
 
 class ServerGroup:
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -19,7 +19,7 @@
 EJECTION_LOG_ODDS = math.log(30.0)  # a server with these odds of being an outlier is ejected
 OUTLIER_ERROR_FRACTION = 0.5  # assumed error fraction of an outlier
 MIN_PEER_ERROR_FRACTION = 0.01  # lower bound of the error fraction that is assumed for the peers
-# After a rejection the in-flight limit is the number of calls in flight, multiplied by this factor.
+# After a rejection or a failed connection attempt, the in-flight limit is the calls in flight times this.
 IN_FLIGHT_LIMIT_DECREASE = 0.9
 
 
--- a/workspond/policy/request_statistics.py
+++ b/workspond/policy/request_statistics.py
@@ -67,7 +67,7 @@
         self.mean_delay_ms[name] += (delay_ms - mean_ms) / (self._samples if mean_ms else 1.0)
 
     def worst_in_time_fraction(self) -> float:
-        """Return the fraction of requests answered in time of the class with the smallest one."""
+        """Return the smallest in-time fraction of all classes."""
         return min(self.in_time_fraction.values())
 
     def mean_priority_weight(self) -> float:
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -70,7 +70,7 @@
         self.ejected_until_ms = -math.inf
         self.ejections = 0
         self.error_log_odds = 0.0
-        # The initial fill is random, because all replicas learn of a new server at the same time.
+        # All replicas learn of a new server at the same time. The random fill spreads their first attempts.
         self.slow_start_budget = TokenBucket(rng.random(), now_ms)
         self.slow_start_budget_per_ms = 0.0
         self.selection: SelectionState[Server] = SelectionState()
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -186,7 +186,7 @@
             # A retry goes to another server than the last attempt, if there is another one.
             if entry is not None and entry.rotation is rotation and rotation.size > 1:
                 return self._pick_excluding(previous, entry, now_ms)
-        return self._pick_first(now_ms)
+        return self._pick_next(now_ms)
 
     def _active_rotation(self) -> Rotation[Server]:
         """Return the rotation to pick from: the ejected servers only if there are no healthy ones."""
@@ -198,19 +198,19 @@
         load = entry.load
         state = excluded.selection
         state.leave_rotation()
-        picked = self._pick_first(now_ms)
+        picked = self._pick_next(now_ms)
         state.rotation_entry = rotation.add(excluded, load, state.effective_weight, state.current_weight)
         return picked if picked is not None else excluded
 
-    def _pick_first(self, now_ms: float) -> Server | None:
+    def _pick_next(self, now_ms: float) -> Server | None:
         """Complete the next round; return the server that it picks, or None if no server may be picked."""
-        entry = self._first_entry(now_ms)
+        entry = self._next_entry(now_ms)
         if entry is None:
             return None
         self._last_round_total_weight = entry.rotation.finish_round(entry)
         return entry.item
 
-    def _first_entry(self, now_ms: float) -> RotationEntry[Server] | None:
+    def _next_entry(self, now_ms: float) -> RotationEntry[Server] | None:
         """Return the entry that the next round picks, with its server's state up to date."""
         while True:
             # Only servers of the lowest load are picked. A slow or stuck server first shows by its calls in
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -20,7 +20,8 @@
 # refill rate grows during the wait.
 BUDGET_CHECK_FRACTION = 0.7
 MIN_BUDGET_CHECK_MS = 20.0  # minimum time until that check, unless the wait itself is shorter
-# Maximum time until that check: if the peers answer ten times as many calls, a long wait ends early.
+# Maximum time until that check: a long wait ends early if, for example, the peers answer ten times as many
+# calls.
 MAX_BUDGET_CHECK_MS = 100.0
 # A server may have no capacity at first: the time until its next check is computed from at least this
 # fraction.
--- a/workspond/policy/weighted_round_robin.py
+++ b/workspond/policy/weighted_round_robin.py
@@ -23,7 +23,7 @@
 # computed again instead.
 MAX_SUBTRACTED_FRACTION = 0.5
 MIN_COMPACTED_SIZE = 16  # heap entries; a compaction of fewer does not pay off
-REMOVED = -1  # serial number of an entry that has been removed from its rotation
+REMOVED_SERIAL = -1  # serial number of an entry that has been removed from its rotation
 
 ItemT = TypeVar("ItemT")
 
@@ -42,7 +42,7 @@
         group: The group that the item belongs to.
         effective_weight: The exact weight in proportion to which the item is picked.
         base_weight: The current weight minus the weight that the group has gained.
-        serial: The serial number of the item's only valid heap entry; `REMOVED` once the item has been
+        serial: The serial number of the item's only valid heap entry; `REMOVED_SERIAL` once the item has been
             removed.
     """
 
@@ -192,7 +192,7 @@
         """Remove a member; its entry must not be used afterwards."""
         group = entry.group
         level = group.level
-        entry.serial = REMOVED
+        entry.serial = REMOVED_SERIAL
         self.size -= 1
         group.size -= 1
         if group.size:
