--- a/tests/coldfleet.py
+++ b/tests/cold_start_simulation.py
@@ -1,9 +1,9 @@
-"""Balancer replicas in simulated time, in front of servers of which some are warming up.
+"""A simulation of balancer replicas that send to servers of which some are warming up.
 
-Each replica is a `Balancer` of its own that gets only its own events. A server works off one request at a
-time, and is slower while it is warming up. What all replicas together send a cold server is held against what
-the rules let it bear: N requests of mean work in the stated window, N being what the settings allow then, and
-2 x root of N + 2 more for chance.
+Each replica is a `Balancer` of its own that gets only its own events. A server works on one request at a
+time, and is slower while it is warming up. The work that all replicas together send to a cold server is
+compared with the limit: N requests of mean work in each overload window, where N follows from the settings,
+plus 2 * sqrt(N) + 2 requests of tolerance for random variation.
 """
 
 from __future__ import annotations
@@ -35,19 +35,19 @@
 RAMP_MS = 10_000.0
 OVERLOAD_FACTOR = 2.5
 OVERLOAD_WINDOW_MS = 1_500.0
-HOP_MS = 1.0  # from a replica to a server, and back
+NETWORK_DELAY_MS = 1.0  # one way, between a replica and a server
 MAX_ATTEMPTS = 3
-WORK_SPREAD = (0.7, 1.3)  # of one request, as a ratio of its class's work
+WORK_RATIO_RANGE = (0.7, 1.3)  # the work of a request, as a ratio of the mean work of its class
 
 
 @dataclass
 class WorkClass:
-    """A class of requests.
+    """A request class, with the frequency and the work of its requests.
 
     Attributes:
-        request_class: The class as the settings have it.
-        fraction: Its fraction of all requests.
-        work_ms: How long a warm server works on a request, in the mean.
+        request_class: The class in the settings.
+        fraction: The fraction of all requests that belong to the class.
+        work_ms: The mean time that a warm server works on a request of the class.
     """
 
     request_class: RequestClass
@@ -56,44 +56,44 @@
 
 
 def request_class(name: str) -> RequestClass:
-    """Return an idempotent class."""
+    """Return an idempotent request class."""
     return RequestClass(name, 400.0, 1200.0, idempotency=Idempotency.IDEMPOTENT)
 
 
-USUAL = (WorkClass(request_class("usual"), 1.0, 20.0),)
-HEAVY = (
+SINGLE_CLASS = (WorkClass(request_class("standard"), 1.0, 20.0),)
+MIXED_CLASSES = (
     WorkClass(request_class("light"), 0.85, 10.0),
     WorkClass(request_class("heavy"), 0.15, 80.0),
 )
 
 
-def usual_load(_at_ms: float) -> float:
-    """Return a steady load below what the warm servers can serve."""
+def steady_load(_at_ms: float) -> float:
+    """Return a constant load that the warm servers can serve."""
     return 0.6
 
 
 @dataclass
 class Scenario:
-    """What happens; moments are relative to the start of the cold servers.
+    """The parameters of a simulation; times are relative to the start of the cold servers.
 
     Attributes:
         warm: The number of servers that are warm all the time.
         cold: The number of servers that start cold.
-        load: The load by time, as a ratio of what the warm servers (all, if none is warm) can serve.
-        work_classes: The classes of the requests.
-        update_spread_ms: Replicas learn of the cold servers at random moments within this time.
-        replica_restarts_at_ms: The moments at which a third of the replicas restarts.
-        servers_restart: Whether the cold servers were listed before, and restart with their old ids.
-        update_interval_ms: From one complete list to the next, as in a rollout that goes on.
+        load: The load by time, as a ratio of the capacity of the warm servers, or of all if none is warm.
+        work_classes: The request classes.
+        update_spread_ms: Each replica learns of the cold servers at a random time within this interval.
+        replica_restarts_at_ms: The times at which a third of the replicas restart.
+        servers_restart: Whether the cold servers were listed before and restart with their old ids.
+        update_interval_ms: The interval between complete endpoint lists, as during a rollout.
         tier: The tier that the replicas send to.
         before_ms: The time that is simulated before the start of the cold servers.
-        after_ms: The time that is simulated after it.
+        after_ms: The time that is simulated after the start of the cold servers.
     """
 
     warm: int = 6
     cold: int = 2
-    load: Callable[[float], float] = usual_load
-    work_classes: tuple[WorkClass, ...] = USUAL
+    load: Callable[[float], float] = steady_load
+    work_classes: tuple[WorkClass, ...] = SINGLE_CLASS
     update_spread_ms: float = 0.0
     replica_restarts_at_ms: tuple[float, ...] = ()
     servers_restart: bool = False
@@ -104,20 +104,20 @@
 
     @property
     def lists_cold_servers_before(self) -> bool:
-        """Whether the servers that will start cold are listed, as warm ones, before they start."""
+        """Whether the servers that will start cold are listed as warm servers before their start."""
         return self.servers_restart or not self.warm
 
     def mean_work_ms(self) -> float:
-        """Return the work of a request in the mean over all classes."""
+        """Return the mean work of a request over all classes."""
         return sum(work_class.fraction * work_class.work_ms for work_class in self.work_classes)
 
 
 @dataclass
-class ReceivedWork:
-    """A request that a server has received."""
+class ReceivedRequest:
+    """A request that a server has received from a replica."""
 
     at_ms: float
-    work_ratio: float  # its work over the mean of all requests
+    work_ratio: float  # the work of the request, divided by the mean work of all requests
 
 
 @dataclass
@@ -125,16 +125,16 @@
     """A server that works on one request at a time."""
 
     started_at_ms: float = -math.inf
-    idle_at_ms: float = 0.0  # when it will have worked off all that it has received
-    received: list[ReceivedWork] = field(default_factory=list)  # of replicas that know that it started
+    busy_until_ms: float = 0.0  # the time at which all received requests will have been processed
+    received: list[ReceivedRequest] = field(default_factory=list)  # from replicas that know of the cold start
 
     @property
     def has_started(self) -> bool:
-        """Whether it has started cold in the simulation."""
+        """Whether the server has started cold during the simulation."""
         return self.started_at_ms > -math.inf
 
     def capacity_fraction(self, now_ms: float) -> float:
-        """Return its speed as a fraction of a warm server's."""
+        """Return the server's speed, as a fraction of the speed of a warm server."""
         ramp = min(1.0, max(0.0, (now_ms - self.started_at_ms) / RAMP_MS))
         return START_CAPACITY + (1.0 - START_CAPACITY) * ramp
 
@@ -149,15 +149,15 @@
 
 @dataclass
 class Replica:
-    """A balancer process."""
+    """A balancer replica."""
 
     index: int
     balancer: Balancer
-    requests: dict[str, SimulatedRequest]  # outlives a restart, as what was sent goes on
+    requests: dict[str, SimulatedRequest]  # kept over a restart, because attempts in flight continue
 
 
-class ColdFleet:
-    """Simulates a scenario; `worst_window` and `sent_ratio` then say how the cold servers fared."""
+class ColdStartSimulation:
+    """Runs a scenario; `max_window_ratio` and `sent_work_ratio` return the load of the cold servers."""
 
     def __init__(self, scenario: Scenario, replicas: int, seed: int) -> None:
         self._scenario = scenario
@@ -169,7 +169,7 @@
         self._mean_work_ms = scenario.mean_work_ms()
         listed_before = scenario.warm + (scenario.cold if scenario.lists_cold_servers_before else 0)
         self._servers = {server_id: SimulatedServer() for server_id in range(listed_before)}
-        self._knows_start = [False] * replicas  # of each replica: whether it knows of the cold servers' start
+        self._knows_cold_start = [False] * replicas  # by replica: whether it knows of the cold servers' start
         self._request_ids = itertools.count(1)
         self._replicas = [self._start_replica(index, {}) for index in range(replicas)]
         self._schedule_scenario()
@@ -180,7 +180,7 @@
         self._schedule(start_at_ms, self._start_cold_servers)
         for at_ms in self._scenario.replica_restarts_at_ms:
             self._schedule(start_at_ms + at_ms, self._restart_replicas)
-        self._receive_request()
+        self._generate_request()
 
     def _run(self) -> None:
         end_at_ms = self._scenario.before_ms + self._scenario.after_ms
@@ -209,7 +209,7 @@
         )
         replica = Replica(index, Balancer(settings, self._rng.getrandbits(32)), requests)
         self._handle(replica, NodeStarted())
-        self._handle(replica, self._complete_list(knows_start=self._knows_start[index]))
+        self._handle(replica, self._complete_list(knows_start=self._knows_cold_start[index]))
         return replica
 
     def _restart_replicas(self) -> None:
@@ -217,7 +217,7 @@
             self._replicas[index] = self._start_replica(index, self._replicas[index].requests)
 
     def _complete_list(self, *, knows_start: bool) -> EndpointUpdate:
-        """Return the endpoint list, as discovery has it before or after the start of the cold servers."""
+        """Return the complete endpoint list from before or after the start of the cold servers."""
         lists_all = knows_start or self._scenario.lists_cold_servers_before
         endpoints = [
             Endpoint(
@@ -233,7 +233,7 @@
         return EndpointUpdate(UpdateKind.COMPLETE, 1, endpoints)
 
     def _update_list(self, index: int) -> None:
-        self._knows_start[index] = True
+        self._knows_cold_start[index] = True
         self._handle(self._replicas[index], self._complete_list(knows_start=True))
         if self._scenario.update_interval_ms < math.inf:
             self._schedule(
@@ -263,20 +263,20 @@
 
     # Requests
 
-    def _receive_request(self) -> None:
-        """Give a request to a random replica, and schedule the next one."""
+    def _generate_request(self) -> None:
+        """Send a client request to a random replica, and schedule the next one."""
         scenario = self._scenario
         load = scenario.load(self._now_ms - scenario.before_ms)
         rate_per_ms = load * (scenario.warm or scenario.cold) / self._mean_work_ms
-        self._schedule(self._now_ms + self._rng.expovariate(rate_per_ms), self._receive_request)
+        self._schedule(self._now_ms + self._rng.expovariate(rate_per_ms), self._generate_request)
         fractions = [work_class.fraction for work_class in scenario.work_classes]
         work_class = self._rng.choices(scenario.work_classes, fractions)[0]
         replica = self._replicas[self._rng.randrange(self._replica_count)]
         request_id = str(next(self._request_ids))
-        work_ms = work_class.work_ms * self._rng.uniform(*WORK_SPREAD)
+        work_ms = work_class.work_ms * self._rng.uniform(*WORK_RATIO_RANGE)
         replica.requests[request_id] = SimulatedRequest(work_ms)
-        kind = work_class.request_class
-        self._handle(replica, RequestReceived(request_id, kind.name, kind.deadline_ms))
+        selected_class = work_class.request_class
+        self._handle(replica, RequestReceived(request_id, selected_class.name, selected_class.deadline_ms))
 
     def _send(self, replica: Replica, attempt: SendAttempt) -> None:
         request = replica.requests[attempt.request_id]
@@ -284,13 +284,13 @@
         request.attempts += 1
         sent_at_ms = self._now_ms
         server = self._servers[attempt.server_id]
-        # What replicas send that do not know of the start yet breaks no rule, and is not counted.
-        if server.has_started and self._knows_start[replica.index]:
-            server.received.append(ReceivedWork(sent_at_ms, request.work_ms / self._mean_work_ms))
-        begins_at_ms = max(sent_at_ms + HOP_MS, server.idle_at_ms)
-        server.idle_at_ms = begins_at_ms + request.work_ms / server.capacity_fraction(begins_at_ms)
+        # Requests from replicas that do not know of the start yet break no rule and are not counted.
+        if server.has_started and self._knows_cold_start[replica.index]:
+            server.received.append(ReceivedRequest(sent_at_ms, request.work_ms / self._mean_work_ms))
+        starts_at_ms = max(sent_at_ms + NETWORK_DELAY_MS, server.busy_until_ms)
+        server.busy_until_ms = starts_at_ms + request.work_ms / server.capacity_fraction(starts_at_ms)
         outcome = Outcome.SUCCESS
-        ends_at_ms = server.idle_at_ms + HOP_MS
+        ends_at_ms = server.busy_until_ms + NETWORK_DELAY_MS
         if ends_at_ms > sent_at_ms + attempt.timeout_ms:
             outcome = Outcome.TIMEOUT
             ends_at_ms = sent_at_ms + attempt.timeout_ms
@@ -306,8 +306,8 @@
 
     # Results
 
-    def worst_window(self) -> float:
-        """Return the most that a cold server received in any window, as a ratio of what is allowed there."""
+    def max_window_ratio(self) -> float:
+        """Return the maximum work that a cold server received in a window, as a ratio of the limit."""
         return max(
             (
                 self._window_ratio(server, first)
@@ -318,20 +318,20 @@
         )
 
     def _window_ratio(self, server: SimulatedServer, first: int) -> float:
-        """Return what a server received in the window that a request begins, over what is allowed."""
-        begins_at_ms = server.received[first].at_ms
-        total = 0.0
+        """Return the work that a server received in the window from request `first` on, over the limit."""
+        starts_at_ms = server.received[first].at_ms
+        received_work = 0.0
         for received in server.received[first:]:
-            if received.at_ms - begins_at_ms >= OVERLOAD_WINDOW_MS:
+            if received.at_ms - starts_at_ms >= OVERLOAD_WINDOW_MS:
                 break
-            total += received.work_ratio
-        capacity_fraction = server.capacity_fraction(begins_at_ms + OVERLOAD_WINDOW_MS / 2.0)
-        allowed = OVERLOAD_FACTOR * capacity_fraction * OVERLOAD_WINDOW_MS / self._mean_work_ms
-        return total / (allowed + 2.0 * math.sqrt(allowed) + 2.0)
+            received_work += received.work_ratio
+        capacity_fraction = server.capacity_fraction(starts_at_ms + OVERLOAD_WINDOW_MS / 2.0)
+        allowed_requests = OVERLOAD_FACTOR * capacity_fraction * OVERLOAD_WINDOW_MS / self._mean_work_ms
+        return received_work / (allowed_requests + 2.0 * math.sqrt(allowed_requests) + 2.0)
 
-    def sent_ratio(self) -> float:
-        """Return the work that cold servers received, as a ratio of what they could serve meanwhile."""
+    def sent_work_ratio(self) -> float:
+        """Return the work that the cold servers received, as a ratio of the work that they could serve."""
         mean_capacity = START_CAPACITY + (1.0 - START_CAPACITY) / 2.0
-        served = self._scenario.cold * mean_capacity * self._scenario.after_ms / self._mean_work_ms
+        capacity = self._scenario.cold * mean_capacity * self._scenario.after_ms / self._mean_work_ms
         sent = sum(received.work_ratio for server in self._cold_servers() for received in server.received)
-        return sent / served
+        return sent / capacity
--- a/tests/plain_selection.py
+++ b/tests/reference_selection.py
@@ -1,4 +1,4 @@
-"""The plain form of what the program does by index: walks over all servers, and whole cuts of the fleet."""
+"""Reference implementations of the indexed server selection and of the incremental subset."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 from workspond.policy.server_selection import ServerSelector
 from workspond.policy.weighted_round_robin import round_weight
 
-# By how much a kept weight may be off: `WEIGHT_TOLERANCE` for each of the things that fade or grow.
-KEPT_WEIGHT_TOLERANCE = 0.25
-# Of the subset weight; a weight below this is near `MIN_SPEED_FACTOR` and is not compared.
+# A cached weight may differ from the exact one by `WEIGHT_TOLERANCE` for each of its inputs that change with
+# time.
+CACHED_WEIGHT_TOLERANCE = 0.25
+# Weights below this fraction of the subset weight are near `MIN_SPEED_FACTOR` and are not compared.
 MIN_COMPARED_WEIGHT_FRACTION = 2e-3
-CURRENT_WEIGHT_TOLERANCE = 1e-6  # rounding errors of the sums
+CURRENT_WEIGHT_TOLERANCE = 1e-6  # for rounding errors of the sums
 
 
-def cut_subset(weights: dict[int, float], replica_index: int, replicas: int, slices: int) -> dict[int, float]:
-    """Return a replica's portion of each member: one slice each of so many shuffles of all."""
-    if slices >= replicas:
+def reference_subset(
+    weights: dict[int, float], replica_index: int, replicas: int, slice_count: int
+) -> dict[int, float]:
+    """Return a replica's portion of each member's weight, by cutting its slice out of each shuffle."""
+    if slice_count >= replicas:
         return dict(weights)
     slice_weight = sum(weights.values()) / replicas
     replica_index %= replicas
     start = replica_index * slice_weight
     end = (replica_index + 1) * slice_weight
     portions = dict.fromkeys(weights, 0.0)
-    for number in range(slices):
+    for number in range(slice_count):
         factor = Random(number).getrandbits(32) | 1
         position = 0.0
         for _, member in sorted((member * factor % 2**32, member) for member in weights):
@@ -36,16 +39,16 @@
 
 
 class CheckedSelector(ServerSelector):
-    """Checks each pick of a first attempt by the indexed selection against a walk over all servers."""
+    """Compares each pick with a scan of all servers, except the picks for calls that may have run."""
 
-    checked = 0
+    checked_picks = 0
 
     def pick(self, call: Call, now_ms: float) -> Server | None:
-        """Return the pick, once the walk has confirmed it."""
+        """Return the pick after it has been compared with the scan."""
         if call.first_possible_run_at_ms is not None:
             return super().pick(call, now_ms)
         self.refresh_due(now_ms)
-        candidates = self._walk(call, now_ms)
+        candidates = self._scan(call, now_ms)
         gained = {
             server.id: server.selection.latest_current_weight()
             + round_weight(server.selection.effective_weight)
@@ -55,24 +58,24 @@
         assert (picked is None) == (not candidates)
         if picked is not None:
             self._check_round(picked, candidates, gained)
-            type(self).checked += 1
+            type(self).checked_picks += 1
         return picked
 
-    def _walk(self, call: Call, now_ms: float) -> list[Server]:
-        """Return the servers that may be picked, worked out for this moment."""
-        ready = [server for server in self._fleet.subset_servers if self._may_get_attempt(server, now_ms)]
-        found = [server for server in ready if now_ms >= server.ejected_until_ms] or ready
-        if call.last_server is not None and len(found) > 1:
-            found = [server for server in found if server is not call.last_server]
-        # Which calls are stalled follows the typical delay too: taken as last worked out.
+    def _scan(self, call: Call, now_ms: float) -> list[Server]:
+        """Return the servers that may be picked, computed for `now_ms` from all servers of the subset."""
+        available = [server for server in self._fleet.subset_servers if self._may_get_attempt(server, now_ms)]
+        usable = [server for server in available if now_ms >= server.ejected_until_ms] or available
+        if call.last_server is not None and len(usable) > 1:
+            usable = [server for server in usable if server is not call.last_server]
+        # The cached number of stalled calls is used, because it also depends on the typical delay.
         loads = [
-            (server.in_flight - server.selection.stalled_calls) / server.subset_weight for server in found
+            (server.in_flight - server.selection.stalled_calls) / server.subset_weight for server in usable
         ]
         min_load = min(loads, default=0.0)
-        return [server for server, load in zip(found, loads, strict=True) if load <= min_load]
+        return [server for server, load in zip(usable, loads, strict=True) if load <= min_load]
 
     def _may_get_attempt(self, server: Server, now_ms: float) -> bool:
-        """Whether a server is usable but for an ejection; checks its kept weight."""
+        """Return whether a server is usable, apart from ejections; check its cached weight."""
         if server.selection.refresh_at_ms <= now_ms:
             self.update(server, now_ms)
         capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
@@ -80,23 +83,24 @@
             return False
         speed_factor = server.speed_factor(now_ms, self._typical_delay.objective_ratio)
         weight = server.subset_weight * capacity_fraction * speed_factor
-        # That of a busy server follows the typical delay, which jumps in these runs; it is looked at soon.
+        # The weight of a server with calls in flight is not compared: it depends on the typical delay, which
+        # changes abruptly in these runs, and is soon computed again.
         unchanged = (
-            math.isclose(server.selection.effective_weight, weight, rel_tol=KEPT_WEIGHT_TOLERANCE)
+            math.isclose(server.selection.effective_weight, weight, rel_tol=CACHED_WEIGHT_TOLERANCE)
             or weight < MIN_COMPARED_WEIGHT_FRACTION * server.subset_weight
         )
         assert server.calls_in_flight or unchanged
         return server.in_flight < server.in_flight_limit
 
     def _check_round(self, picked: Server, candidates: list[Server], gained: dict[int, float]) -> None:
-        """Check that the picked server's weight was the highest, that it has paid and the others gained."""
+        """Check that the picked server had the highest current weight, and that all weights were updated."""
         assert picked in candidates
         assert gained[picked.id] >= max(gained.values()) - CURRENT_WEIGHT_TOLERANCE
         total_weight = sum(server.selection.effective_weight for server in candidates)
         picked_weight = picked.selection.effective_weight
-        paid = total_weight * round_weight(picked_weight) / picked_weight
+        subtracted = total_weight * round_weight(picked_weight) / picked_weight
         for server in candidates:
-            expected = gained[server.id] - (paid if server is picked else 0.0)
+            expected = gained[server.id] - (subtracted if server is picked else 0.0)
             current_weight = server.selection.latest_current_weight()
             assert math.isclose(
                 current_weight, expected, rel_tol=CURRENT_WEIGHT_TOLERANCE, abs_tol=CURRENT_WEIGHT_TOLERANCE
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Picks, subsets and lists: by index they come to the same as by walks, at a cost that does not grow."""
+"""Server selection and subsets: they match the reference implementations, at a cost that does not grow."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 from bench.decisions import Case, Run
 from bench.server_state import ServerState
-from tests.coldfleet import ColdFleet, Scenario
+from tests.cold_start_simulation import ColdStartSimulation, Scenario
 from tests.helpers import Replica, endpoints
-from tests.plain_selection import CheckedSelector, cut_subset
+from tests.reference_selection import CheckedSelector, reference_subset
 from tests.test_property import run_random_events
 from workspond.policy import balancer
 from workspond.policy.deduplication_groups import DeduplicationGroups
@@ -28,30 +28,32 @@
 from workspond.policy.token_bucket import TokenBucket
 from workspond.policy.weighted_round_robin import LoadLevel, Rotation, RotationEntry
 
-FEW, MANY = 30, 2000
-EVERYWHERE = (DeduplicationScope.ALL, None)
+FEW_SERVERS, MANY_SERVERS = 30, 2000
+ALL_SERVERS_KEY = (DeduplicationScope.ALL, None)
 CALLS = 150
-MAX_EXTRA_UPDATES = 12  # a call, warm-up calls (half as many again) included
+MAX_EXTRA_UPDATES = 12  # per measured call; the updates of the warm-up calls, half as many again, count too
 
 
 @pytest.fixture
-def checked(monkeypatch: pytest.MonkeyPatch) -> type[CheckedSelector]:
-    """Has each pick of a balancer checked."""
+def checked_selector(monkeypatch: pytest.MonkeyPatch) -> type[CheckedSelector]:
+    """Make all balancers check each pick."""
     monkeypatch.setattr(balancer, "ServerSelector", CheckedSelector)
-    monkeypatch.setattr(CheckedSelector, "checked", 0)
+    monkeypatch.setattr(CheckedSelector, "checked_picks", 0)
     return CheckedSelector
 
 
-def test_picks_are_those_of_a_walk_on_random_days(checked: type[CheckedSelector]) -> None:
+def test_picks_with_random_events_match_a_scan_of_all_servers(
+    checked_selector: type[CheckedSelector],
+) -> None:
     @hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.integers(1, 9))
-    def histories(seed: int, attempts: int, tier: int, replicas: int) -> None:
+    def check_random_events(seed: int, attempts: int, tier: int, replicas: int) -> None:
         run_random_events(
             seed, max_attempts=attempts, tier=tier, replicas=replicas, replica_index=seed % replicas
         )
 
-    histories()
-    assert checked.checked > 5000
+    check_random_events()
+    assert checked_selector.checked_picks > 5000
 
 
 @pytest.mark.parametrize(
@@ -63,43 +65,47 @@
         Scenario(warm=0, load=lambda _: 0.9),
     ],
 )
-def test_picks_are_those_of_a_walk_among_cold_servers(
-    scenario: Scenario, checked: type[CheckedSelector]
+def test_picks_among_cold_servers_match_a_scan_of_all_servers(
+    scenario: Scenario, checked_selector: type[CheckedSelector]
 ) -> None:
-    ColdFleet(replace(scenario, before_ms=4000.0), replicas=6, seed=1)
-    assert checked.checked > 500
+    ColdStartSimulation(replace(scenario, before_ms=4000.0), replicas=6, seed=1)
+    assert checked_selector.checked_picks > 500
 
 
-def pays_nothing(self: Rotation[Server], picked: RotationEntry[Server]) -> float:
+def finish_round_without_change(self: Rotation[Server], picked: RotationEntry[Server]) -> float:
     return 1.0
 
 
-def first_before_the_round(self: LoadLevel[Server]) -> RotationEntry[Server]:
+def first_by_weight_before_round(self: LoadLevel[Server]) -> RotationEntry[Server]:
     return max((group.first() for group in self.groups.values()), key=lambda entry: entry.current_weight)
 
 
 def add_with_equal_load(
     self: Rotation[Server], server: Server, load: float, effective_weight: float, current_weight: float
 ) -> RotationEntry[Server]:
-    return add(self, server, 0.0, effective_weight, current_weight)
+    return original_add(self, server, 0.0, effective_weight, current_weight)
 
 
-add = Rotation.add
+original_add = Rotation.add
 
 
 @pytest.mark.parametrize(
-    ("owner", "name", "broken"),
+    ("owner", "method_name", "broken_method"),
     [
-        (Rotation, "finish_round", pays_nothing),
-        (LoadLevel, "first", first_before_the_round),
+        (Rotation, "finish_round", finish_round_without_change),
+        (LoadLevel, "first", first_by_weight_before_round),
         (Rotation, "add", add_with_equal_load),
     ],
 )
-def test_the_walk_notices_a_broken_index(
-    owner: type, name: str, broken: object, checked: type[CheckedSelector], monkeypatch: pytest.MonkeyPatch
+def test_broken_rotation_is_detected_by_the_scan(
+    owner: type,
+    method_name: str,
+    broken_method: object,
+    checked_selector: type[CheckedSelector],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The second is one that the simulator's score had shown, by 0.015."""
-    monkeypatch.setattr(owner, name, broken)
+    """The simulator's score had revealed the second fault, by a difference of 0.015."""
+    monkeypatch.setattr(owner, method_name, broken_method)
     with pytest.raises(AssertionError):
         for seed in range(30):
             run_random_events(seed, replicas=7, replica_index=2)
@@ -107,7 +113,7 @@
 
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32))
-def test_a_subset_kept_up_to_date_is_that_of_a_whole_cut(seed: int) -> None:
+def test_incrementally_updated_subset_matches_the_reference(seed: int) -> None:
     rng = Random(seed)
     replicas = rng.choice((1, 2, 5, 9, 33))
     replica_index = rng.randrange(replicas + 3)
@@ -122,17 +128,17 @@
             else:
                 weights[member] = rng.choice((1.0, 0.5, 2.0)) if seed % 2 else 1.0
                 subset.set_weight(member, weights[member])
-        slices = rng.choice((4, 4, 8, 16))
-        subset.set_slice_count(slices)
+        slice_count = rng.choice((4, 4, 8, 16))
+        subset.set_slice_count(slice_count)
         changed = subset.update()
-        plain = cut_subset(weights, replica_index, replicas, slices)
-        expected = {member: portion for member, portion in plain.items() if portion > 1e-9}
+        reference = reference_subset(weights, replica_index, replicas, slice_count)
+        expected = {member: portion for member, portion in reference.items() if portion > 1e-9}
         assert subset.portions == pytest.approx(expected)
         members = before.keys() | subset.portions
         assert {m for m in members if before.get(m) != subset.portions.get(m)} <= changed
 
 
-def test_groups_hold_what_was_put_in_and_draw_a_part_of_it() -> None:
+def test_deduplication_groups_after_random_changes_sample_all_members_evenly() -> None:
     rng = Random(1)
     groups = DeduplicationGroups()
     zones: dict[int, str] = {}
@@ -144,50 +150,60 @@
             groups.remove(server)
             zones.pop(server.id, None)
         else:
-            groups.assign(server, ((DeduplicationScope.ZONE, zone), EVERYWHERE))
+            groups.assign(server, ((DeduplicationScope.ZONE, zone), ALL_SERVERS_KEY))
             zones[server.id] = zone
         expected = {server_id for server_id, other in zones.items() if other == zone}
-        drawn = groups.sample((DeduplicationScope.ZONE, zone), 100, rng)
-        assert {server.id for server in drawn} == expected
-    draws = Counter(server.id for _ in range(3000) for server in groups.sample(EVERYWHERE, 5, rng))
-    assert set(draws) == set(zones) and max(draws.values()) < 2 * min(draws.values())
+        sampled = groups.sample((DeduplicationScope.ZONE, zone), 100, rng)
+        assert {server.id for server in sampled} == expected
+    sample_counts = Counter(
+        server.id for _ in range(3000) for server in groups.sample(ALL_SERVERS_KEY, 5, rng)
+    )
+    assert set(sample_counts) == set(zones)
+    assert max(sample_counts.values()) < 2 * min(sample_counts.values())
 
 
 def count_updates(monkeypatch: pytest.MonkeyPatch, case: Case) -> int:
-    """Return how often the speed of a server is worked out in a run of the bench."""
+    """Return how often the speed factor of a server is computed in a run of the bench."""
     count = 0
     speed_factor = Server.speed_factor
 
-    def counted(self: Server, now_ms: float, objective_ratio: float) -> float:
+    def counted_speed_factor(self: Server, now_ms: float, objective_ratio: float) -> float:
         nonlocal count
         count += 1
         return speed_factor(self, now_ms, objective_ratio)
 
     with monkeypatch.context() as patch:
         run = Run(case)
-        patch.setattr(Server, "speed_factor", counted)
+        patch.setattr(Server, "speed_factor", counted_speed_factor)
         run.cost()
     return count
 
 
 @pytest.mark.parametrize("state", ServerState)
-def test_what_a_call_looks_at_does_not_grow_with_the_list(
+def test_server_updates_of_a_call_do_not_grow_with_the_endpoint_list(
     state: ServerState, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    few, many = (count_updates(monkeypatch, Case(servers, 1, state, CALLS)) for servers in (FEW, MANY))
-    # Besides two updates of its own server, a call brings some of those that are due.
-    print(f"{state.value}: {few / CALLS:.2f} a call with {FEW} servers, {many / CALLS:.2f} with {MANY}")
+    few, many = (
+        count_updates(monkeypatch, Case(servers, 1, state, CALLS)) for servers in (FEW_SERVERS, MANY_SERVERS)
+    )
+    # Each call updates its own server twice, and some servers that are due for a refresh.
+    print(
+        f"{state.value}: {few / CALLS:.2f} updates a call with {FEW_SERVERS} servers,"
+        f" {many / CALLS:.2f} with {MANY_SERVERS}"
+    )
     assert many <= 1.15 * few + MAX_EXTRA_UPDATES * CALLS
 
 
-def test_a_list_with_nothing_new_looks_at_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    node = Replica(servers=200, replicas=8, replica_index=3)
-    monkeypatch.setattr(Server, "speed_factor", lambda *_: pytest.fail("a server was looked at"))
-    node.replace_endpoints(endpoints(range(200)))
+def test_unchanged_endpoint_list_updates_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
+    replica = Replica(servers=200, replicas=8, replica_index=3)
+    monkeypatch.setattr(
+        Server, "speed_factor", lambda *_: pytest.fail("the speed factor of a server was computed")
+    )
+    replica.replace_endpoints(endpoints(range(200)))
 
 
-def test_a_change_looks_at_the_server_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
-    node = Replica(servers=200)
+def test_incremental_endpoint_update_updates_only_the_listed_server(monkeypatch: pytest.MonkeyPatch) -> None:
+    replica = Replica(servers=200)
     updated: list[int] = []
 
     def speed_factor(server: Server, *_: float) -> float:
@@ -195,13 +211,13 @@
         return 1.0
 
     monkeypatch.setattr(Server, "speed_factor", speed_factor)
-    node.update_endpoints(Endpoint(7, "z", "k", 1, weight=2.0))
+    replica.update_endpoints(Endpoint(7, "z", "k", 1, weight=2.0))
     assert set(updated) == {7}
 
 
-def test_a_cold_server_that_is_seldom_looked_at_saves_up_no_more() -> None:
-    """What comes into a budget grows with the ramp: a look after a long while took the last rate for all."""
-    often, seldom = TokenBucket(0.0, 0.0), TokenBucket(0.0, 0.0)
+def test_slow_start_budget_refilled_rarely_grows_as_much_as_one_refilled_often() -> None:
+    """The refill rate grows during the ramp: a late refill used the last rate for the whole interval."""
+    often_refilled, rarely_refilled = TokenBucket(0.0, 0.0), TokenBucket(0.0, 0.0)
     settings = Settings(
         [RequestClass("read", 100.0, 400.0)],
         start_capacity=0.2,
@@ -209,28 +225,28 @@
         overload_factor=2.5,
         overload_window_ms=1e6,
     )
-    saved = []
-    for bucket, step_ms in ((often, 10), (seldom, 2000)):
-        node = balancer.Balancer(settings, 1)
-        node.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(1, started_at_ms=0.0)]), 0.0)
-        server = node.fleet.servers[1]
-        slow_start = node._slow_start
+    final_tokens = []
+    for bucket, interval_ms in ((often_refilled, 10), (rarely_refilled, 2000)):
+        replica = balancer.Balancer(settings, 1)
+        replica.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(1, started_at_ms=0.0)]), 0.0)
+        server = replica.fleet.servers[1]
+        slow_start = replica._slow_start
         server.slow_start_budget = bucket
-        for now_ms in map(float, range(0, 4001, step_ms)):
+        for now_ms in map(float, range(0, 4001, interval_ms)):
             capacity_fraction = slow_start.capacity_fraction(server, now_ms)
-            total_weight = node.fleet.total_subset_weight
+            total_weight = replica.fleet.total_subset_weight
             slow_start.refill_slow_start_budget(server, capacity_fraction, total_weight, now_ms)
-        saved.append(bucket.tokens)
-    assert saved[1] == pytest.approx(saved[0], rel=0.05)
+        final_tokens.append(bucket.tokens)
+    assert final_tokens[1] == pytest.approx(final_tokens[0], rel=0.05)
 
 
-def test_what_the_selection_holds_does_not_grow_with_the_calls() -> None:
-    """Each call opened a level of load of its own, and left its number behind."""
-    node = Replica(servers=20, tier=1)
+def test_selection_state_does_not_grow_with_the_number_of_calls() -> None:
+    """Each call created a load level, and the loads of removed levels stayed in the heap."""
+    replica = Replica(servers=20, tier=1)
     sizes = []
     for _ in range(3):
-        node.serve(400)
-        selector = node.balancer._selector
+        replica.serve(400)
+        selector = replica.balancer._selector
         rotation = selector._healthy
         entries_held = sum(
             len(group.heap) for level in rotation._levels.values() for group in level.groups.values()
@@ -242,31 +258,31 @@
 
 
 @pytest.mark.parametrize("changes", [{"start_capacity": 0.0}, {"overload_factor": 0.0}])
-def test_servers_that_may_be_sent_nothing_at_first_stop_no_pick(changes: dict[str, Any]) -> None:
-    """A rate of nothing was divided by; a weight of nothing was looked at again at once, for ever."""
+def test_servers_without_capacity_or_budget_at_first_do_not_break_picks(changes: dict[str, Any]) -> None:
+    """A rate of 0 caused a division by zero, and a weight of 0 an endless loop of refreshes."""
     for seed in range(10):
         run_random_events(seed, **changes)
-    node = Replica(servers=0, tier=1, **changes)
-    node.replace_endpoints([Endpoint(n, started_at_ms=node.now_ms) for n in range(3)])
+    replica = Replica(servers=0, tier=1, **changes)
+    replica.replace_endpoints([Endpoint(n, started_at_ms=replica.now_ms) for n in range(3)])
     for n in range(50):
-        node.receive(f"{n}")
-        node.now_ms += 200.0
+        replica.receive(f"{n}")
+        replica.now_ms += 200.0
 
 
-def test_a_server_of_hardly_any_weight_stops_no_pick() -> None:
-    node = Replica(servers=0)
-    node.replace_endpoints([Endpoint(1, weight=5e-324), Endpoint(2, weight=1.0)])
-    assert set(node.serve(20)) <= {1, 2}
+def test_server_with_minimal_weight_does_not_break_picks() -> None:
+    replica = Replica(servers=0)
+    replica.replace_endpoints([Endpoint(1, weight=5e-324), Endpoint(2, weight=1.0)])
+    assert set(replica.serve(20)) <= {1, 2}
 
 
-def test_a_cold_server_is_used_soon_after_its_peers_answer_more() -> None:
-    """Its next look lay most of a wait ahead that had been worked out while hardly any answers came."""
-    node = Replica(servers=2, ramp_time_ms=60_000.0, start_capacity=0.2, overload_factor=2.5, tier=1)
-    node.serve(10, gap_ms=2_000.0)
-    node.update_endpoints(Endpoint(9, "z", "k", 1, started_at_ms=node.now_ms))
-    cold = node.balancer.fleet.servers[9]
+def test_cold_server_is_used_soon_after_its_peers_answer_more_calls() -> None:
+    """The next check was scheduled after most of a wait that had been computed from a low response rate."""
+    replica = Replica(servers=2, ramp_time_ms=60_000.0, start_capacity=0.2, overload_factor=2.5, tier=1)
+    replica.serve(10, gap_ms=2_000.0)
+    replica.update_endpoints(Endpoint(9, "z", "k", 1, started_at_ms=replica.now_ms))
+    cold = replica.balancer.fleet.servers[9]
     cold.slow_start_budget.tokens = 0.0
-    node.balancer._selector.update(cold, node.now_ms)
-    began_at_ms = node.now_ms
-    while 9 not in node.serve(1, gap_ms=0.0, delay_ms=10.0):
-        assert node.now_ms - began_at_ms < 1_600.0
+    replica.balancer._selector.update(cold, replica.now_ms)
+    started_at_ms = replica.now_ms
+    while 9 not in replica.serve(1, gap_ms=0.0, delay_ms=10.0):
+        assert replica.now_ms - started_at_ms < 1_600.0
