--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Server, node_environment, read_message, request, run, until
+from tests.peers import WAIT_TIMEOUT_S, Server, node_environment, read_message, request, run, until
 from tests.stalled_listener import StalledListener
 from tests.test_listener import FailingSocket
-from workspond.downstream.listener import RETRY_S
+from workspond.downstream.listener import ACCEPT_RETRY_DELAY_S
 
 SLACK_S = 0.15  # by how much the time that the server is told may exceed what is left
 BUDGET_S = 2.5
@@ -59,14 +59,14 @@
 
     async def test() -> None:
         server = Server()
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             caller = await environment.client()
             sent_at_s = time.monotonic()
             caller.write(request("first") + request("second", budget=str(BUDGET_S)))
             await until(lambda: len(server.received) == 1)
             await asyncio.sleep(1.0)
-            server.gate.set()
+            server.may_respond.set()
             await until(lambda: len(server.received) == 2)
             left_s = time_left_s(sent_at_s)
             assert float(server.received[1].headers["x-budget"]) <= left_s + SLACK_S
@@ -88,9 +88,9 @@
             listener = node.frontend._listener
             assert listener is not None
             if cause == "a shortage of descriptors":
-                errors = [errno.EMFILE] * round(delay_s / RETRY_S + 1)
+                errors = [errno.EMFILE] * round(delay_s / ACCEPT_RETRY_DELAY_S + 1)
                 listener._socket = cast(socket.socket, FailingSocket(listener._socket, *errors))
-            with socket.create_connection(environment.address, LIMIT_S) as caller:
+            with socket.create_connection(environment.address, WAIT_TIMEOUT_S) as caller:
                 sent_at_s = time.monotonic()
                 caller.sendall(request("a", budget=str(BUDGET_S)))
                 if cause == "a busy event loop":
