--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""How requests are spread over servers: weights, slow start, slow and failing servers, the subset."""
+"""Distribution of attempts over servers: weights, slow start, slow and failing servers, and subsets."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from workspond.policy.settings import RequestClass, Settings
 
 
-def test_first_sends_take_even_turns() -> None:
+def test_servers_of_equal_weight_get_equal_numbers_of_requests() -> None:
     replica = Replica(servers=4)
     picked = replica.serve(40)
     assert {picked.count(n) for n in range(4)} == {10}
 
 
-def test_first_sends_follow_weights() -> None:
+def test_servers_of_different_weights_get_requests_in_proportion() -> None:
     replica = Replica(servers=0)
     replica.replace_endpoints([Endpoint(1, weight=3.0), Endpoint(2, weight=1.0)])
     picked = replica.serve(40)
     assert picked.count(1) == pytest.approx(30, abs=1)
 
 
-def test_a_server_that_starts_anew_under_its_name_is_one_of_which_nothing_is_known() -> None:
-    """The limit, ejection and slow-start budget of the old process must not pass to the new one."""
+def test_restarted_server_with_its_old_id_has_no_state_of_the_old_process() -> None:
+    """The in-flight limit, ejection and slow-start budget of the old process do not apply to the new one."""
     replica = Replica(servers=2)
     replica.serve(200)
     replica.update_endpoints(Endpoint(1, "z", "k", 1, started_at_ms=replica.now_ms - 5000.0))
-    for n in range(40):  # the server goes down: nothing connects
+    for n in range(40):  # all connection attempts to server 1 fail
         replica.receive(f"down-{n}", "non_idempotent")
         replica.end_attempt(
             f"down-{n}",
@@ -53,39 +53,39 @@
     replica.update_endpoints(
         Endpoint(1, "z", "k", 1, started_at_ms=old.started_at_ms and old.started_at_ms + 50.0)
     )
-    assert replica.balancer.fleet.servers[1] is old  # the same start, read by another clock
+    assert replica.balancer.fleet.servers[1] is old  # the same process, its start read from another clock
     replica.update_endpoints(Endpoint(1, "z", "k", 1, started_at_ms=replica.now_ms))
     new = replica.balancer.fleet.servers[1]
     assert (new.in_flight_limit, new.ejections, new.relative_latency, new.in_flight) == (math.inf, 0, 1.0, 0)
     assert new.slow_start_budget.tokens < 1.0
-    replica.end_attempt("late", Outcome.RESET)  # an attempt on the old process says nothing about the new one
+    replica.end_attempt("late", Outcome.RESET)  # the attempt was sent to the old process
     assert not new.error_log_odds and not new.relative_latency > 1.0
 
 
-def test_a_new_copy_gets_on_where_all_servers_are_cold() -> None:
-    """Without responses to estimate the capacity from, a new replica must not wait until they are warm."""
+def test_new_replica_with_only_cold_servers_sends_requests() -> None:
+    """A new replica has no responses to estimate the capacity from, but must not wait for warm servers."""
     replica = Replica(servers=0, tier=1)
     start = replica.now_ms
     replica.replace_endpoints([Endpoint(n, started_at_ms=start) for n in range(4)])
     served = 0
-    for n in range(400):  # 4 s, half of the ramp
+    for n in range(400):  # 4 s, which is half of the ramp
         replica.receive(f"{n}")
         if f"{n}" in replica.sent_to:
             served += 1
             replica.end_attempt(f"{n}", Outcome.SUCCESS, 5.0)
         replica.now_ms = start + 10.0 * n
-    assert 4 <= served <= 4 * 0.5 * 3.0 * 4 * 100  # what the settings allow, if each answers at once
+    assert 4 <= served <= 4 * 0.5 * 3.0 * 4 * 100  # the limit of the settings, if all answers are immediate
 
 
-def test_a_server_with_an_old_start_is_warm() -> None:
+def test_server_started_before_the_ramp_time_is_warm() -> None:
     replica = Replica(servers=0)
     replica.replace_endpoints([Endpoint(1), Endpoint(2, started_at_ms=replica.now_ms - 9000.0)])
     picked = replica.serve(40)
     assert picked.count(2) == 20
 
 
-def test_a_stuck_server_is_passed_over() -> None:
-    # A few stuck servers can hold up a whole tier.
+def test_stuck_server_gets_few_requests() -> None:
+    # A few stuck servers can block a whole tier.
     replica = Replica(servers=4)
     replica.serve(80)
     stuck = replica.balancer.fleet.subset_servers[0].id
@@ -99,7 +99,7 @@
     assert to_stuck <= 5
 
 
-def test_a_slow_server_loses_weight_and_gets_it_back() -> None:
+def test_slow_server_loses_weight_and_recovers_it() -> None:
     replica = Replica(servers=4)
     for _ in range(200):
         request_id = f"s{replica.now_ms}"
@@ -109,25 +109,25 @@
         )
     slow = replica.balancer.fleet.servers[0]
     assert slow.speed_factor(replica.now_ms, 0.0) < 0.5
-    assert replica.serve(20, gap_ms=0.0).count(0) <= 2  # an equal part is 5
+    assert replica.serve(20, gap_ms=0.0).count(0) <= 2  # an equal share is 5
     assert slow.speed_factor(replica.now_ms + 60_000.0, 0.0) == pytest.approx(1.0)
 
 
-def test_a_server_that_fails_fast_is_ejected_and_returns() -> None:
+def test_server_that_fails_fast_is_ejected_and_returns() -> None:
     replica = Replica(servers=4)
     replica.serve(100)
-    bad = 0
+    failures = 0
     for n in range(60):
         replica.receive(f"e{n}", "non_idempotent")
         failing = replica.sent_to[f"e{n}"][0] == 0
-        bad += failing
+        failures += failing
         replica.end_attempt(f"e{n}", Outcome.ERROR if failing else Outcome.SUCCESS, 20.0)
-    assert bad <= 4
+    assert failures <= 4
     replica.now_ms += 60_000.0
     assert 0 in replica.serve(8)
 
 
-def test_half_the_fleet_bad_at_once_is_not_emptied() -> None:
+def test_fleet_in_which_all_requests_fail_has_at_most_half_its_servers_ejected() -> None:
     replica = Replica(servers=4)
     replica.serve(100)
     for n in range(80):
@@ -139,10 +139,10 @@
         )
 
 
-def test_copies_share_a_large_fleet_out_evenly() -> None:
-    """Many replicas that each use all servers need more connections than the servers accept."""
-    callers = dict.fromkeys(range(60), 0)
-    load = dict.fromkeys(callers, 0.0)
+def test_subsets_of_many_replicas_cover_a_large_fleet_evenly() -> None:
+    """If many replicas used all servers, they would need more connections than the servers accept."""
+    replica_counts = dict.fromkeys(range(60), 0)
+    total_weights = dict.fromkeys(replica_counts, 0.0)
     for number in range(40):
         fleet = Replica(60, replicas=40, replica_index=number).balancer.fleet
         assert len(fleet.subset_servers) < 30
@@ -150,40 +150,40 @@
             sum(server.subset_weight for server in fleet.subset_servers), INITIAL_SLICES * 60 / 40
         )
         for server in fleet.subset_servers:
-            callers[server.id] += 1
-            load[server.id] += server.subset_weight
-    assert max(callers.values()) <= 40 / 2
-    assert all(math.isclose(part, INITIAL_SLICES) for part in load.values())
+            replica_counts[server.id] += 1
+            total_weights[server.id] += server.subset_weight
+    assert max(replica_counts.values()) <= 40 / 2
+    assert all(math.isclose(weight, INITIAL_SLICES) for weight in total_weights.values())
 
 
-def test_a_hot_caller_takes_more_of_the_fleet() -> None:
+def test_busy_replica_uses_a_larger_subset_until_the_next_endpoint_list() -> None:
     replica = Replica(60, replicas=40, tier=1)
-    few = len(replica.balancer.fleet.subset_servers)
+    initial_size = len(replica.balancer.fleet.subset_servers)
     replica.serve(50)
-    assert len(replica.balancer.fleet.subset_servers) == few
+    assert len(replica.balancer.fleet.subset_servers) == initial_size
     for n in range(40):
         replica.receive(f"{n}")
-    assert len(replica.balancer.fleet.subset_servers) > few
-    assert len({server for sent in replica.sent_to.values() for server in sent}) > few
+    assert len(replica.balancer.fleet.subset_servers) > initial_size
+    assert len({server for sent in replica.sent_to.values() for server in sent}) > initial_size
     replica.replace_endpoints(endpoints(range(60)))
-    assert len(replica.balancer.fleet.subset_servers) == few
+    assert len(replica.balancer.fleet.subset_servers) == initial_size
 
 
-def test_a_cold_server_takes_fewer_turns_than_its_budget_allows() -> None:
+def test_cold_server_with_a_large_budget_still_has_a_low_weight() -> None:
     replica = Replica(servers=4, overload_factor=50.0)
     replica.serve(200)
     replica.update_endpoints(Endpoint(9, started_at_ms=replica.now_ms))
     assert replica.serve(20).count(9) <= 2
 
 
-def test_a_copy_numbered_beyond_their_count_still_has_servers() -> None:
+def test_replica_with_index_above_the_replica_count_has_servers() -> None:
     replica = Replica(60, replicas=40, replica_index=57)
     assert replica.balancer.fleet.subset_servers
     assert sends(replica.receive("a"))
 
 
-def test_a_call_overdue_takes_its_servers_weight_before_it_ends() -> None:
-    """Otherwise slow or silent servers get several more requests before the first times out."""
+def test_overdue_call_reduces_the_weight_of_its_server_before_it_ends() -> None:
+    """Otherwise a slow or unresponsive server gets several more requests before the first one times out."""
     replica = Replica(servers=4, tier=1)
     replica.serve(200)
     replica.receive("stuck")
@@ -194,41 +194,41 @@
     assert stuck in replica.serve(30)
 
 
-def test_a_call_that_later_ones_overtook_says_nothing_of_its_server() -> None:
-    """Neither while it is in flight nor by its timeout: the server answers, the connection was dropped."""
+def test_call_overtaken_by_later_ones_does_not_reduce_the_weight_of_its_server() -> None:
+    """The server answers other calls, so the connection was lost; the timeout does not count either."""
     replica = Replica(servers=4, tier=1)
     replica.serve(200)
     for n in range(8):
         replica.now_ms += 1.0
         replica.receive(f"c{n}")
-    silent = next(
+    overtaken = next(
         n for n in range(8) if replica.sent_to[f"c{n}"] in [replica.sent_to[f"c{m}"] for m in range(n + 1, 8)]
     )
     for n in range(8):
-        if n != silent:
+        if n != overtaken:
             replica.end_attempt(f"c{n}", Outcome.SUCCESS, 5.0)
-    [server] = replica.sent_to[f"c{silent}"]
+    [server] = replica.sent_to[f"c{overtaken}"]
     replica.now_ms += 1000.0
     assert server in replica.serve(12)
-    replica.end_attempt(f"c{silent}", Outcome.TIMEOUT, 500.0)
+    replica.end_attempt(f"c{overtaken}", Outcome.TIMEOUT, 500.0)
     assert server in replica.serve(12)
 
 
-def test_a_reported_queue_takes_weight_and_fades() -> None:
-    """An overloaded server reports it in its responses, before it fails."""
+def test_reported_queue_reduces_the_weight_and_decays() -> None:
+    """An overloaded server reports its queue in its responses before it fails."""
     replica = Replica(servers=4, tier=1)
     replica.serve(200)
     replica.receive("a")
-    [crowded] = replica.sent_to["a"]
-    event = AttemptEnded("a", 0, crowded, Outcome.SUCCESS, 50.0, True, {"queue": 6.0})
+    [overloaded] = replica.sent_to["a"]
+    event = AttemptEnded("a", 0, overloaded, Outcome.SUCCESS, 50.0, True, {"queue": 6.0})
     replica.handle(event, 50.0)
-    assert crowded not in replica.serve(20)
+    assert overloaded not in replica.serve(20)
     replica.now_ms += 60_000.0
-    assert crowded in replica.serve(20)
+    assert overloaded in replica.serve(20)
 
 
-def test_a_hot_copy_takes_no_more_slices_than_there_are() -> None:
-    """The slices must not double without end, as the subset is computed anew each time."""
+def test_busy_replica_with_few_servers_stops_doubling_its_slices() -> None:
+    """The slice count must have a bound, because the subset is computed again at each doubling."""
     settings = Settings([RequestClass("read", 1000.0, 3000.0)], replicas=20, tier=1, tiers=2)
     balancer = Balancer(settings, 1)
     balancer.handle(EndpointUpdate(UpdateKind.COMPLETE, 1, [Endpoint(n) for n in range(4)]), 0.0)
@@ -238,8 +238,8 @@
     assert 20 <= balancer.fleet.slice_count < 40
 
 
-def test_a_call_does_not_wait_behind_another_of_the_copy_while_a_peer_stands_idle() -> None:
-    """Some servers work on one request at a time."""
+def test_request_goes_to_an_idle_server_rather_than_to_a_busy_one() -> None:
+    """Some servers work on one request at a time, so the request would wait there."""
     replica = Replica(servers=4)
     replica.serve(40)
     for n in range(4):
@@ -248,6 +248,6 @@
     [busy] = replica.sent_to["a0"]
     for n in range(1, 4):
         replica.end_attempt(f"a{n}", Outcome.SUCCESS, 1.0)
-    for n in range(3):  # the first of these is the turn of the busy server
+    for n in range(3):  # without the busy server's call in flight, the first of these would go to it
         replica.receive(f"b{n}")
     assert busy not in [replica.sent_to[f"b{n}"][0] for n in range(3)]
