--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -1,7 +1,7 @@
-"""Records sessions of the simulator's wire: a seeded closed loop around the adapter, one file a session.
+"""Records the messages between a seeded simulation and the simulator adapter, one file for each session.
 
-`python -m tests.record_decisions OUT` writes every session of `tests/recorded_sessions.py` into the directory
-OUT. A recording alternates a line of input with the adapter's reply to it.
+`python -m tests.record_decisions OUT` writes the recordings of all sessions in `tests/recorded_sessions.py`
+to the directory OUT. In a recording, each line of input is followed by the adapter's reply.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def record(session: Session) -> list[str]:
-    """The lines of a session: input and reply in turn."""
+    """Run a session; return its lines, alternately an input and its reply."""
     simulation, errors = Simulation(session), io.StringIO()
     loop = cast(Any, simulation)
     if serve(loop, loop, errors):
@@ -26,5 +26,7 @@
 
 
 if __name__ == "__main__":
-    for one in SESSIONS:
-        Path(sys.argv[1], f"{one.name}.jsonl").write_text("".join(record(one)), encoding="utf-8")
+    for recorded_session in SESSIONS:
+        Path(sys.argv[1], f"{recorded_session.name}.jsonl").write_text(
+            "".join(record(recorded_session)), encoding="utf-8"
+        )
--- a/tests/recorded_sessions.py
+++ b/tests/recorded_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions that `tests/record_decisions.py` records: settings, arrivals, servers and list changes."""
+"""The simulated sessions that `tests/record_decisions.py` records: settings, requests, servers."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from typing import Any
 
 Json = dict[str, Any]
-Behaviour = tuple[float, float, float, float]  # shares of attempts: no connection, error, reset; slowness
+# The fractions of attempts that fail to connect, get an error and are reset; the factor of the service time.
+ServerBehaviour = tuple[float, float, float, float]
 
-SOUND: Behaviour = (0.0, 0.0, 0.0, 1.0)
-MIXED: Behaviour = (0.03, 0.1, 0.06, 1.0)
-OUTLIER: Behaviour = (0.1, 0.7, 0.1, 1.0)
-SLOW: Behaviour = (0.0, 0.0, 0.02, 8.0)
-DOWN: Behaviour = (1.0, 0.0, 0.0, 1.0)
+HEALTHY: ServerBehaviour = (0.0, 0.0, 0.0, 1.0)
+FLAKY: ServerBehaviour = (0.03, 0.1, 0.06, 1.0)
+OUTLIER: ServerBehaviour = (0.1, 0.7, 0.1, 1.0)
+SLOW: ServerBehaviour = (0.0, 0.0, 0.02, 8.0)
+DOWN: ServerBehaviour = (1.0, 0.0, 0.0, 1.0)
 
 
 def request_class(name: str, semantics: str, importance: float, **changes: Any) -> Json:
-    """A class of requests."""
-    cls = {"name": name, "objective_ms": 120.0, "give_up_ms": 600.0, "semantics": semantics}
-    cls |= {"importance": importance, "late_worth": 0.2, "dedup_scope": "all", "window_ms": 250.0}
-    return cls | {"stream": False} | changes
+    """Return the wire form of a request class, with changes to the defaults."""
+    fields = {"name": name, "objective_ms": 120.0, "give_up_ms": 600.0, "semantics": semantics}
+    fields |= {"importance": importance, "late_worth": 0.2, "dedup_scope": "all", "window_ms": 250.0}
+    return fields | {"stream": False} | changes
 
 
 READ = request_class("read", "retryable", 1.0)
@@ -31,8 +32,8 @@
 
 
 def settings(classes: list[Json], **changes: Any) -> Json:
-    """Settings of a node; a dictionary among the changes is merged into the part of that name."""
-    env: Json = {
+    """Return a node's settings; a changed value that is a dictionary is merged into the default one."""
+    node_settings: Json = {
         "classes": classes,
         "tenants": [],
         "dcs": ["z0", "z1"],
@@ -70,26 +71,47 @@
         },
     }
     for name, value in changes.items():
-        env[name] = env[name] | value if isinstance(value, dict) else value
-    return env
+        node_settings[name] = node_settings[name] | value if isinstance(value, dict) else value
+    return node_settings
 
 
 @dataclass(frozen=True)
 class Session:
-    """One session: what is recorded follows from it alone."""
+    """The parameters of a session, which determine its recording completely.
+
+    Attributes:
+        name: The name of the recording's file, without its suffix.
+        seed: The seed of the random number generator.
+        settings: The settings of the nodes, in their wire form.
+        arrival_span_ms: The time in which the requests arrive.
+        requests: The number of requests.
+        burst_fraction: The fraction of the requests that arrive within one tenth of the time.
+        servers: The number of servers.
+        cells: The number of cells.
+        nodes: The number of nodes.
+        server_capacity: The number of attempts that a server accepts at a time.
+        work_ms: The mean service time of an idle server of normal speed.
+        behaviours: The behaviours of the servers and their relative frequencies.
+        list_updates: The number of changes of the endpoint list.
+        full_list_fraction: The fraction of the updates that send the complete list.
+        list_failure_fraction: The fraction of subscriptions and updates that fail.
+        changes_per_update: The number of entries that each update changes.
+        client_leave_fraction: The fraction of the clients that disconnect early.
+        node_restart_after_ms: The time at which every node is killed and started again.
+    """
 
     name: str
     seed: int
     settings: Json
-    arrival_span_ms: float  # in which requests arrive
+    arrival_span_ms: float
     requests: int
-    burst_fraction: float = 0.0  # the part of the requests that arrives within a tenth of the span
+    burst_fraction: float = 0.0
     servers: int = 6
     cells: int = 3
     nodes: int = 1
-    server_capacity: int = 6  # attempts that a server holds
+    server_capacity: int = 6
     work_ms: float = 25.0
-    behaviours: tuple[list[Behaviour], list[float]] = field(default_factory=lambda: ([SOUND], [1.0]))
+    behaviours: tuple[list[ServerBehaviour], list[float]] = field(default_factory=lambda: ([HEALTHY], [1.0]))
     list_updates: int = 0
     full_list_fraction: float = 0.2
     list_failure_fraction: float = 0.0
@@ -99,71 +121,73 @@
 
     @property
     def tick_ms(self) -> float:
-        """The least time between batches."""
+        """The minimum time between batches, in ms."""
         return float(self.settings["quantum_ms"])
 
     @property
     def end_at_ms(self) -> float:
-        """When the recording ends: all that was asked has been answered by then."""
+        """The end of the recording, at which all requests have ended."""
         return 1000.0 + self.arrival_span_ms + 1000.0
 
     def next_tick(self, at_ms: float) -> float:
-        """The tick at or after a time."""
+        """Return the first tick at or after a time."""
         return math.ceil(at_ms / self.tick_ms) * self.tick_ms
 
-    def share(self, rng: random.Random) -> float:
-        """A server's figure for comparison with others."""
+    def random_weight(self, rng: random.Random) -> float:
+        """Return a random weight for a server; always 1 if `weight_kind` is "silent" in the settings."""
         return 1 if self.settings["weight_kind"] == "silent" else rng.choice((0, 0.5, 1, 1, 1, 2.25))
 
     def entry(self, rng: random.Random, server: int) -> Json:
-        """A server's list entry."""
+        """Return a random endpoint list entry for a server."""
         return {
             "server": server,
             "failure_domain": f"z{rng.randrange(2)}",
             "sku": "k0",
             "group": rng.randrange(self.cells),
             "health": "in_service",
-            "share": self.share(rng),
+            "share": self.random_weight(rng),
             "boot_time_ms": None,
         }
 
     def initial_entries(self, rng: random.Random) -> list[Json]:
-        """The first list."""
+        """Return the entries of the first endpoint list."""
         return [
             self.entry(rng, server) for server in rng.sample(range(10, 10 + 4 * self.servers), self.servers)
         ]
 
     def arrivals(self, rng: random.Random, nodes: list[str]) -> list[tuple[float, str, Json]]:
-        """When each request comes, to which node, and of what class."""
-        found = []
+        """Return the time after the start, the node and the class of each request."""
+        arrivals = []
         for _ in range(self.requests):
             after_ms = rng.random() * self.arrival_span_ms
             if rng.random() < self.burst_fraction:
                 after_ms = (0.5 + rng.random() / 10.0) * self.arrival_span_ms
-            found.append((5.0 + after_ms, rng.choice(nodes), rng.choice(self.settings["classes"])))
-        return found
+            arrivals.append((5.0 + after_ms, rng.choice(nodes), rng.choice(self.settings["classes"])))
+        return arrivals
 
     def change_entries(self, rng: random.Random, entries: list[Json], now: float) -> list[Json]:
-        """Change some entries in place, or add a server; what has changed."""
+        """Change some entries in place or add servers; return the changed and the new entries."""
         changed: list[Json] = []
         for sampled in rng.sample(entries, self.changes_per_update):
             entry = sampled
-            step = rng.choice(("drain", "remove", "restart", "restart", "skew", "weigh", "move", "add"))
-            if step == "add":
-                entry = self.entry(rng, max(each["server"] for each in [*entries, *changed]) + 1)
+            change = rng.choice(
+                ("drain", "remove", "restart", "restart", "shift start", "reweight", "move", "add")
+            )
+            if change == "add":
+                entry = self.entry(rng, max(other["server"] for other in [*entries, *changed]) + 1)
                 entry["boot_time_ms"] = now - 20.0
-            elif step == "drain":
+            elif change == "drain":
                 entry["health"] = "terminating"
-            elif step == "remove":
+            elif change == "remove":
                 entry["health"] = "terminated"
-            elif step == "restart":
+            elif change == "restart":
                 entry |= {"health": "in_service", "boot_time_ms": now - 20.0}
-            elif step == "skew":
+            elif change == "shift start":
                 entry["boot_time_ms"] = (entry["boot_time_ms"] or 500.0) + 40.0
-            elif step == "move":
+            elif change == "move":
                 entry |= {"group": (entry["group"] + 1) % self.cells, "failure_domain": "z1"}
             else:
-                entry["share"] = self.share(rng)
+                entry["share"] = self.random_weight(rng)
             changed.append(entry)
         return changed
 
@@ -184,7 +208,7 @@
         nodes=2,
         servers=4,
         work_ms=30.0,
-        behaviours=([SOUND, MIXED], [3.0, 1.0]),
+        behaviours=([HEALTHY, FLAKY], [3.0, 1.0]),
     ),
     Session(
         "third_tier_on_request",
@@ -199,7 +223,7 @@
         arrival_span_ms=3000.0,
         requests=130,
         servers=8,
-        behaviours=([SOUND, MIXED, DOWN], [2.0, 3.0, 1.0]),
+        behaviours=([HEALTHY, FLAKY, DOWN], [2.0, 3.0, 1.0]),
         list_updates=14,
         list_failure_fraction=0.3,
         changes_per_update=2,
@@ -223,7 +247,7 @@
         servers=8,
         cells=6,
         server_capacity=3,
-        behaviours=([MIXED, OUTLIER, SLOW], [4.0, 2.0, 1.0]),
+        behaviours=([FLAKY, OUTLIER, SLOW], [4.0, 2.0, 1.0]),
         list_updates=7,
         client_leave_fraction=0.15,
     ),
@@ -243,7 +267,7 @@
         burst_fraction=0.6,
         servers=250,
         cells=60,
-        behaviours=([SOUND, MIXED, SLOW], [4.0, 2.0, 1.0]),
+        behaviours=([HEALTHY, FLAKY, SLOW], [4.0, 2.0, 1.0]),
         list_updates=8,
         full_list_fraction=0.1,
         changes_per_update=4,
