--- a/workspond/policy/server_measurements.py
+++ b/workspond/policy/server_measurements.py
@@ -22,10 +22,11 @@
 QUEUE_EXPONENT = 3  # the weight is divided by (1 + queue) to this power
 MIN_QUEUE = 0.01  # a queue that has decayed to fewer requests counts as empty
 
-# The age of a call in flight is taken as a ratio of the typical delay.
-# A call in flight counts like an answer whose delay is the age of the call, divided by this ratio.
+# The age ratio of a call in flight is its age divided by the typical delay.
+# The oldest call in flight counts like a relative latency of its age ratio divided by this constant.
 OVERDUE_AGE_RATIO = 1.5
-STALLED_AGE_RATIO = 4.0  # an older call is stalled, that is lost by its server, if a later call was answered
+# A call with a higher age ratio counts as stalled, that is lost by its server, if a later call was answered.
+STALLED_AGE_RATIO = 4.0
 MIN_OVERDUE_CHECK_MS = 1.0  # minimum time between two checks of an overdue call
 STALLED_CHECK_DELAY_MS = 1.0  # time from the moment at which a call becomes stalled to the check
 
@@ -112,7 +113,7 @@
         )
 
     def next_speed_change_at_ms(self, now_ms: float, objective_ratio: float) -> float:
-        """Return when time alone will have changed the speed factor notably, or the stalled calls."""
+        """Return when the speed factor or the stalled calls will have changed without any event."""
         change_at_ms = math.inf
         relative_latency = 1.0
         if self.relative_latency > SLOW_LATENCY_RATIO:
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -80,14 +80,14 @@
     def _server_capacity_per_ms(self, server: Server, total_subset_weight: float, now_ms: float) -> float:
         """Estimate the responses per ms that this replica would get from the server if it were warm.
 
-        The estimate is the rate of all responses, divided by the weight that was warm during the time of that
-        rate. Divided by the weight that is warm now, it was five times too high when all servers restarted at
-        once.
+        The estimate is the rate of all responses, divided by the mean weight that was warm while that rate was
+        measured. With the weight that is warm now as the divisor, the estimate was five times too high when
+        all servers restarted at once.
         """
         warm_weight = max(self._warm_fraction.value * total_subset_weight, server.subset_weight)
         responses_per_ms = self._controller.response_rate.per_s() / warm_weight / 1000.0
         self._capacity_per_ms.record(responses_per_ms, now_ms)
-        # At least the mean counts, because low traffic does not lower the capacity of the servers.
+        # The mean is a lower bound, because low traffic does not reduce the servers' capacity.
         estimate_per_ms = max(responses_per_ms, self._capacity_per_ms.value) * server.subset_weight
         # A new replica has no responses to estimate from, and would never get any if all servers were cold. A
         # server that can answer within the objective at all completes one call per objective.
