--- a/workspond/policy/server_measurements.py
+++ b/workspond/policy/server_measurements.py
@@ -23,7 +23,7 @@
 MIN_QUEUE = 0.01  # a queue that has decayed to fewer requests counts as empty
 
 # The age ratio of a call in flight is its age divided by the typical delay.
-# The oldest call in flight counts like a relative latency of its age ratio divided by this constant.
+# The oldest call not overtaken counts like a relative latency of its age ratio divided by this.
 OVERDUE_AGE_RATIO = 1.5
 # A call with a higher age ratio counts as stalled, that is lost by its server, if a later call was answered.
 STALLED_AGE_RATIO = 4.0
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -80,9 +80,9 @@
     def _server_capacity_per_ms(self, server: Server, total_subset_weight: float, now_ms: float) -> float:
         """Estimate the responses per ms that this replica would get from the server if it were warm.
 
-        The estimate is the rate of all responses, divided by the mean weight that was warm while that rate was
-        measured. With the weight that is warm now as the divisor, the estimate was five times too high when
-        all servers restarted at once.
+        The estimate is the rate of all responses, divided by the mean weight that was warm while that rate
+        was measured. With the weight that is warm now as the divisor, the estimate was five times too high
+        when all servers restarted at once.
         """
         warm_weight = max(self._warm_fraction.value * total_subset_weight, server.subset_weight)
         responses_per_ms = self._controller.response_rate.per_s() / warm_weight / 1000.0
