--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -177,8 +177,8 @@
             return self._pick_in_group(call, now_ms)
         self.refresh_due(now_ms)
         if self._fleet.total_subset_weight:
-            warm_fraction = max(0.0, self._total_weight) / self._fleet.total_subset_weight
-            self._slow_start.record_warm_fraction(warm_fraction, now_ms)
+            available_fraction = max(0.0, self._total_weight) / self._fleet.total_subset_weight
+            self._slow_start.record_available_fraction(available_fraction, now_ms)
         previous = call.last_server
         if previous is not None:
             rotation = self._active_rotation()
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -37,7 +37,7 @@
         self._controller = controller
         self._max_objective_ms = max(request_class.objective_ms for request_class in settings.classes)
         # The available fraction of the subset's weight, averaged over the same time as the response rate.
-        self._warm_fraction = TimeWeightedMean(RATE_WINDOW_MS)
+        self._available_fraction = TimeWeightedMean(RATE_WINDOW_MS)
         # The responses per ms of a warm server of weight 1, averaged over at least the time of a ramp.
         self._capacity_per_ms = TimeWeightedMean(max(RATE_WINDOW_MS, settings.ramp_time_ms))
 
@@ -49,9 +49,9 @@
         ramp = min(1.0, max(0.0, (now_ms - server.started_at_ms) / settings.ramp_time_ms))
         return settings.start_capacity + (1.0 - settings.start_capacity) * ramp
 
-    def record_warm_fraction(self, fraction: float, now_ms: float) -> None:
+    def record_available_fraction(self, fraction: float, now_ms: float) -> None:
         """Record the fraction of the subset's weight that is available from `now_ms` on."""
-        self._warm_fraction.record(fraction, now_ms)
+        self._available_fraction.record(fraction, now_ms)
 
     def refill_slow_start_budget(
         self, server: Server, capacity_fraction: float, total_subset_weight: float, now_ms: float
@@ -80,12 +80,12 @@
     def _server_capacity_per_ms(self, server: Server, total_subset_weight: float, now_ms: float) -> float:
         """Estimate the responses per ms that this replica would get from the server if it were warm.
 
-        The estimate is the rate of all responses, divided by the mean weight that was warm while that rate
-        was measured. With the weight that is warm now as the divisor, the estimate was five times too high
+        The estimate is the rate of all responses, divided by the mean weight that was available while that
+        rate was measured. With the weight available now as the divisor, the estimate was five times too high
         when all servers restarted at once.
         """
-        warm_weight = max(self._warm_fraction.value * total_subset_weight, server.subset_weight)
-        responses_per_ms = self._controller.response_rate.per_s() / warm_weight / 1000.0
+        available_weight = max(self._available_fraction.value * total_subset_weight, server.subset_weight)
+        responses_per_ms = self._controller.response_rate.per_s() / available_weight / 1000.0
         self._capacity_per_ms.record(responses_per_ms, now_ms)
         # The mean is a lower bound, because low traffic does not reduce the servers' capacity.
         estimate_per_ms = max(responses_per_ms, self._capacity_per_ms.value) * server.subset_weight
