--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real nodes among stand-ins on loopback, faults by schedule, rules checked on sockets."""
+"""A randomized soak test: real nodes on loopback, scheduled faults, and checks of the socket traffic."""
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins for clients that wait for their answers, and what these share with faulty ones."""
+"""Well-behaved clients of the nodes, and the base class that they share with faulty clients."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from soak.settings import CLASSES, DEADLINE_S, READ, RequestClass
 from standins.messages import Response, read_response, render_request
 
-# After the last moment for an answer: one that is later still is reported as late, not as missing.
+# Extra time to wait for an answer, so that an answer after its limit is reported as late and not as missing.
 LATE_ANSWER_S = 1.0
 BUDGETS_S = (0.2, DEADLINE_S)
 TINY_BUDGETS_S = (0.001, 0.04)
 TINY_BUDGET_FRACTION = 0.03
-PATIENCE_S = (0.001, 0.1)  # of clients that disconnect early
-EARLY_DISCONNECT_FRACTION = 0.5  # of the requests of clients that do so
+DISCONNECT_AFTER_S = (0.001, 0.1)  # after sending, for clients that disconnect early
+EARLY_DISCONNECT_FRACTION = 0.5  # of requests, while clients disconnect early
 RECONNECT_INTERVAL_S = 0.05
 LARGE_BODY_BYTES = 20_000
 LARGE_BODY_FRACTION = 0.05
@@ -28,17 +28,17 @@
 
 @dataclass(slots=True)
 class NodeView:
-    """What clients know of their node."""
+    """The state of a node that its clients depend on."""
 
     number: int
     address: tuple[str, int]
-    accepts_connections: bool = True  # not ended, or ending for too long
-    killed_at_s: float = -1.0  # when its process was last killed outright
+    accepts_connections: bool = True  # False soon after SIGTERM and after the end of the process
+    killed_at_s: float = -1.0  # time of the last SIGKILL that a fault sent
 
 
 @dataclass(frozen=True, slots=True)
 class DrawnRequest:
-    """A request that a client is about to send."""
+    """A randomly drawn request that is ready to be sent."""
 
     request_id: str
     request_class: RequestClass
@@ -47,14 +47,14 @@
 
 
 async def read_answer(reader: asyncio.StreamReader, limit_s: float) -> Response:
-    """Read the next answer; raises one of `NO_ANSWER_ERRORS` where there is none."""
-    # asyncio.wait_for may swallow a cancellation that comes as the answer does.
+    """Read the next answer; raises one of `NO_ANSWER_ERRORS` if none arrives within `limit_s`."""
+    # asyncio.wait_for may lose a cancellation that arrives together with the answer.
     async with asyncio.timeout(limit_s):
         return await read_response(reader)
 
 
 class Client:
-    """What all clients share: requests, connections, and the check whether the node was killed."""
+    """Base class of all clients: draws requests, connects, and knows whether the node was killed."""
 
     def __init__(self, oracle: Oracle, node: NodeView, rng: random.Random, new_id: Callable[[], str]) -> None:
         self._oracle = oracle
@@ -64,7 +64,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Connect to the node, as soon as it accepts connections."""
+        """Connect to the node, retrying until it accepts the connection."""
         while True:
             if self._node.accepts_connections:
                 with contextlib.suppress(OSError):
@@ -91,18 +91,18 @@
         self._oracle.request_sent(request.request_id, class_name, self._node.number, budget_s)
 
     def _was_killed_since_sent(self, request: DrawnRequest) -> bool:
-        """Whether the node was killed with a request: its answer is nobody's fault then."""
+        """Return whether the node was killed after the request was sent, which excuses a missing answer."""
         sent_at_s = self._oracle.requests[request.request_id].sent_at_s
         return self._node.killed_at_s >= sent_at_s - TIME_SLACK_S
 
 
 class PatientClient(Client):
-    """Sends one request at a time and waits for each answer; keeps its connection."""
+    """Sends one request at a time on a persistent connection and waits for each answer."""
 
-    disconnects_early = False  # set while the fault lasts
+    disconnects_early = False  # True during a fault of the kind `callers_leave`
 
     async def run(self, mean_gap_s: float) -> None:
-        """Send request after request, with a mean gap between an answer and the next request."""
+        """Send requests until cancelled; `mean_gap_s` is the mean time from an answer to the next request."""
         while True:
             reader, writer = await self._connect()
             try:
@@ -113,7 +113,7 @@
     async def _use_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, mean_gap_s: float
     ) -> None:
-        """Use a connection as long as it stays open."""
+        """Send requests on one connection until it ends."""
         is_first = True
         while True:
             await asyncio.sleep(self._rng.expovariate(1.0 / mean_gap_s))
@@ -130,40 +130,44 @@
             is_first = False
 
     async def _disconnect(self, request: DrawnRequest, writer: asyncio.StreamWriter) -> None:
-        """Close while a request is in flight."""
-        await asyncio.sleep(self._rng.uniform(*PATIENCE_S))
+        """Close the connection while a request is in flight."""
+        await asyncio.sleep(self._rng.uniform(*DISCONNECT_AFTER_S))
         writer.close()
         self._oracle.client_disconnected(request.request_id)
 
     async def _receive_answer(
         self, request: DrawnRequest, reader: asyncio.StreamReader, *, is_first_request: bool
     ) -> bool:
-        """Read the answer to a request; whether the connection may be used on."""
+        """Read the answer to a request; return whether the connection can be reused."""
         limit_s = request.budget_s + ANSWER_GRACE_S + LATE_ANSWER_S + self._oracle.slack_s
         try:
             response = await read_answer(reader, limit_s)
         except TimeoutError:
-            self._report_unanswered(request, "no answer, on a connection that stays open")
+            self._report_unanswered(request, "no answer, and the connection is still open")
             return False
         except (asyncio.IncompleteReadError, ConnectionError) as problem:
-            await self._connection_closed(request, problem, is_first_request=is_first_request)
+            await self._handle_closed_connection(request, problem, is_first_request=is_first_request)
             return False
         self._oracle.answered(request.request_id, response.status, response.body)
         return True
 
-    async def _connection_closed(
+    async def _handle_closed_connection(
         self, request: DrawnRequest, problem: Exception, *, is_first_request: bool
     ) -> None:
-        """The connection ended without an answer: on a used one it may have crossed the request."""
+        """Handle a connection that ended without an answer.
+
+        The node may close an idle connection while a request is on its way. Such a request is sent once more;
+        any other is reported as unanswered.
+        """
         may_have_crossed = not is_first_request and not self._oracle.was_forwarded(request.request_id)
         error: Exception | None = problem
         if may_have_crossed and not self._was_killed_since_sent(request):
             error = await self._resend(request)
         if error is not None:
-            self._report_unanswered(request, f"closed without an answer: {error!r:.60}")
+            self._report_unanswered(request, f"connection closed without an answer: {error!r:.60}")
 
     async def _resend(self, request: DrawnRequest) -> Exception | None:
-        """Send a request on a new connection; why there is no answer, if there is none."""
+        """Send a request on a new connection; return the error if there is no answer."""
         reader, writer = await self._connect()
         try:
             writer.write(request.data)
@@ -176,7 +180,7 @@
         self._oracle.answered(request.request_id, response.status, response.body)
         return None
 
-    def _report_unanswered(self, request: DrawnRequest, why: str) -> None:
+    def _report_unanswered(self, request: DrawnRequest, reason: str) -> None:
         if not self._was_killed_since_sent(request):
-            self._oracle.unanswered(request.request_id, why)
+            self._oracle.unanswered(request.request_id, reason)
         self._oracle.client_disconnected(request.request_id)
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-in for discovery: the registry of servers, and the agent of each node that passes it on."""
+"""Simulated discovery: the registry of servers, and the agents that serve it to the nodes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from standins.messages import receive_message, render_response
 from standins.sockets import reset
 
-LIST_DELAY_S = 0.3  # from a change to when agents have it
-COUNTS_AFTER_S = 6.0  # what an agent has counts as notified then, where it can be reached
+PROPAGATION_DELAY_S = 0.3  # from a change in the registry to its arrival at the agents
+# A reachable agent must be polled within this time: its node counts as notified of older changes.
+NOTIFICATION_LIMIT_S = 6.0
 SLOW_PIECES = 8
-SLOW_S = 0.4  # before the first piece of a slow answer, and again over all its pieces
+SLOW_S = 0.4  # delay before the first piece of a slow answer, and total delay between its pieces
 
 
 class Status(Enum):
-    """What discovery says of a server; the value is the one of the wire."""
+    """The status of a server in the endpoint list; the value is the one on the wire."""
 
     ACTIVE = "active"
     DRAINING = "leaving"
@@ -33,17 +34,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A server as discovery lists it."""
+    """A server's entry in the registry."""
 
     name: str
     address: str
     group: int
     status: Status
     started_at_wall_ms: int
-    started_at_s: float | None  # the same on the soak's clock; None: up from the beginning
+    started_at_s: float | None  # on the soak's monotonic clock; None if running since the start of the soak
 
     def to_wire(self) -> dict[str, Any]:
-        """The entry in an endpoint list."""
+        """Return the entry in the format of the endpoint list."""
         return endpoint_entry(
             self.name,
             self.address,
@@ -56,29 +57,29 @@
 
 
 class EndpointRegistry:
-    """The true state of all servers: every change gets the next version."""
+    """The actual state of all servers; every change increments the version."""
 
     def __init__(self) -> None:
         self.version = 1
         self.entries: dict[str, Entry] = {}
-        self.changed_versions: dict[str, int] = {}  # of each server's last change
+        self.changed_versions: dict[str, int] = {}  # version of the last change, by server
         self.agents: list[Agent] = []
 
     def change(self, entry: Entry) -> None:
-        """A server starts, drains or is removed; agents have it a little later."""
+        """Record that a server starts, drains or is removed; agents receive it after a delay."""
         self.version += 1
         self.entries[entry.name] = entry
         self.changed_versions[entry.name] = self.version
         for agent in self.agents:
-            agent.loop.call_later(LIST_DELAY_S, agent.learn, entry, self.version)
+            agent.loop.call_later(PROPAGATION_DELAY_S, agent.apply_change, entry, self.version)
 
     def set_status(self, name: str, status: Status) -> None:
-        """Change what is said of a server."""
+        """Change the status of a server."""
         self.change(replace(self.entries[name], status=status))
 
 
 class AgentMode(Enum):
-    """How an agent treats calls; the value ends the name of the fault."""
+    """How an agent responds; the value is the name of the fault without its prefix."""
 
     GOOD = "good"
     SILENT = "silent"
@@ -92,22 +93,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingEntry:
-    """An entry that an agent has learnt and not yet written."""
+    """An entry that an agent has received and not yet sent to its node."""
 
     entry: Entry
-    learnt_at_s: float
+    received_at_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class ListAnswer:
-    """An answer to a call: its bytes, and whether its connection stays open behind it."""
+    """An answer to a call, and whether the connection stays open after it."""
 
     data: bytes
     keeps_open: bool
 
 
 class Agent(Listener):
-    """What one node calls: it has the list as learnt so far, and answers, fails or stays silent."""
+    """A discovery agent of one node; it serves its copy of the list, or fails as its mode says."""
 
     def __init__(self, registry: EndpointRegistry, oracle: Oracle, node: int) -> None:
         super().__init__()
@@ -118,20 +119,20 @@
         self._version = registry.version
         self._entries = dict(registry.entries)
         self._changed_versions = dict(registry.changed_versions)
-        self._has_update = asyncio.Event()  # replaced by each update
+        self._has_update = asyncio.Event()  # set, and replaced by a new event, at each update
         self._mode = AgentMode.GOOD
         self._reachable_from_s = 0.0
         self._pending: dict[str, PendingEntry] = {}
-        self._answers = 0  # for the framing of each
+        self._answers = 0  # alternates the framing of answers
         registry.agents.append(self)
 
     def complete_list(self) -> dict[str, Any]:
-        """The complete list as the agent has it."""
+        """Return the agent's copy of the complete list."""
         listed = [entry.to_wire() for entry in self._entries.values() if entry.status is not Status.REMOVED]
         return endpoint_list(self._version, listed, complete=True)
 
-    def learn(self, entry: Entry, version: int) -> None:
-        """Take a change; an agent that is down or silent learns nothing until its return."""
+    def apply_change(self, entry: Entry, version: int) -> None:
+        """Apply a change; an agent that is down or silent ignores it until it is reachable again."""
         if self._mode in UNREACHABLE_MODES:
             return
         self._version = max(self._version, version)
@@ -142,7 +143,7 @@
         self._has_update = asyncio.Event()
 
     def set_mode(self, mode: AgentMode) -> None:
-        """Treat calls in another way from now on."""
+        """Change how the agent responds from now on."""
         previous = self._mode
         self._mode = mode
         if mode is AgentMode.DOWN:
@@ -151,19 +152,19 @@
             self._catch_up()
 
     def _catch_up(self) -> None:
-        """Learn what has changed while the agent could not be reached."""
+        """Apply the changes made while the agent was unreachable."""
         self._reachable_from_s = self.loop.time()
         for name, entry in self._registry.entries.items():
             if self._entries.get(name) != entry:
-                self.learn(entry, self._registry.changed_versions[name])
+                self.apply_change(entry, self._registry.changed_versions[name])
 
-    def count_overdue(self) -> None:
-        """What the agent has had for long counts as notified, whether or not it was written."""
+    def record_overdue(self) -> None:
+        """Record entries as notified that the node should have polled by now, even if they were not sent."""
         if self._mode in UNREACHABLE_MODES:
             return
         now_s = self.loop.time()
         for pending in list(self._pending.values()):
-            counts_from_s = max(pending.learnt_at_s, self._reachable_from_s) + COUNTS_AFTER_S
+            counts_from_s = max(pending.received_at_s, self._reachable_from_s) + NOTIFICATION_LIMIT_S
             if now_s >= counts_from_s:
                 self._record_notified(pending.entry, counts_from_s)
 
@@ -174,11 +175,11 @@
         )
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer call after call by the mode of the moment."""
+        """Answer each call according to the current mode."""
         if self._mode is AgentMode.DOWN:
             reset(writer.transport)
             return
-        # uvloop raises RuntimeError for a write once the node or a fault has ended the connection.
+        # uvloop raises RuntimeError on a write after the node or a fault has ended the connection.
         with contextlib.suppress(RuntimeError):
             keeps_open = True
             while keeps_open:
@@ -186,13 +187,13 @@
                 keeps_open = await self._answer(writer, call.target)
 
     async def _answer(self, writer: asyncio.StreamWriter, target: str) -> bool:
-        """Answer a call; whether the connection stays open."""
+        """Answer a call; return whether the connection stays open."""
         query = parse_qs(urlsplit(target).query)
         index = int(query["index"][0]) if "index" in query else None
         if index is not None and index >= self._version:
             await self._wait_for_update(int(query.get("wait", ["0"])[0]) / 1000.0)
         if self._mode is AgentMode.SILENT:
-            await self.loop.create_future()  # a call that comes in silence is never answered
+            await self.loop.create_future()  # never completes: a silent agent does not answer
         if index is None:
             written = list(self._entries.values())
             body = self.complete_list()
@@ -214,7 +215,7 @@
         return [entry for name, entry in self._entries.items() if versions.get(name, 0) > version]
 
     def _frame(self, body: bytes) -> ListAnswer:
-        """An answer with a Content-Length; under the fault of framing, in turn without one and in chunks."""
+        """Frame an answer with a Content-Length; in mode FRAMING, alternately without one or in chunks."""
         self._answers += 1
         if self._mode is not AgentMode.FRAMING:
             return ListAnswer(render_response(200, body, reason="OK"), keeps_open=True)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a schedule on the nodes and stand-ins of a run."""
+"""Plays the faults of a schedule on a run's nodes, servers, discovery agents and clients."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from soak.node_process import NodeProcess
 from soak.proxy import ProxyMode
 from soak.schedule import SERVER_KINDS, Fault, FaultKind
-from soak.servers import ServerMode, ServerStandIn
+from soak.servers import ServerMode, SimulatedServer
 from soak.shim import NS_PER_S, Field, ShimControl
 
 CLOCK_STEP_S = 3600
 RELOAD_INTERVAL_S = 0.2
-FAULTY_CLIENTS = 4  # at a time, for each such fault
-REMOVE_AFTER_S = 1.5  # from a drain's end to the server's removal from the list
-CRASH_AFTER_S = 0.5  # from there to the end of its process
+FAULTY_CLIENTS = 4  # per fault
+REMOVE_AFTER_S = 1.5  # from the end of a drain to the server's removal from the list
+CRASH_AFTER_S = 0.5  # from the removal to the end of the server's process
 ACCEPT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED)
 LOG_ERRORS = (errno.ENOSPC, errno.EIO)
 
 
 class FaultPlayer:
-    """Lets each fault begin and end at its time."""
+    """Starts and ends each fault at its time."""
 
     def __init__(
         self,
-        servers: Sequence[ServerStandIn],
+        servers: Sequence[SimulatedServer],
         nodes: Sequence[NodeProcess],
         clients: Sequence[Sequence[PatientClient]],
         make_faulty_client: Callable[[NodeView], FaultyClient],
         rng: random.Random,
     ) -> None:
-        """`clients` are those of each node."""
+        """`clients` lists the clients of each node, by node number."""
         self._servers = servers
         self._nodes = nodes
         self._clients = clients
@@ -45,7 +45,7 @@
         self._rng = rng
 
     async def play(self, fault: Fault) -> None:
-        """Wait for a fault's time, and play it to its end."""
+        """Wait until the start of a fault and play it to its end."""
         await asyncio.sleep(fault.at_s)
         if fault.kind in SERVER_KINDS:
             await self._play_server_fault(fault, self._servers[fault.target % len(self._servers)])
@@ -60,7 +60,7 @@
 
     # Servers
 
-    async def _play_server_fault(self, fault: Fault, server: ServerStandIn) -> None:
+    async def _play_server_fault(self, fault: Fault, server: SimulatedServer) -> None:
         if fault.kind is FaultKind.SERVER_DRAIN:
             await self._drain(server, fault.lasts_s)
         elif fault.kind is FaultKind.SERVER_RESTART:
@@ -74,20 +74,20 @@
             await asyncio.sleep(fault.lasts_s)
             server.set_mode(ServerMode.GOOD)
 
-    async def _drain(self, server: ServerStandIn, lasts_s: float) -> None:
+    async def _drain(self, server: SimulatedServer, lasts_s: float) -> None:
         async with server.restarting:
             server.set_status(Status.DRAINING)
             await asyncio.sleep(lasts_s + REMOVE_AFTER_S)
             server.set_status(Status.REMOVED)
             await asyncio.sleep(CRASH_AFTER_S)
             server.crash()
-            await server.return_cold()
+            await server.restart_cold()
 
-    async def _restart(self, server: ServerStandIn, lasts_s: float) -> None:
+    async def _restart(self, server: SimulatedServer, lasts_s: float) -> None:
         async with server.restarting:
             server.crash()
             await asyncio.sleep(lasts_s)
-            await server.return_cold()
+            await server.restart_cold()
 
     # Discovery
 
@@ -113,7 +113,7 @@
             case FaultKind.CALLERS_GARBAGE:
                 await asyncio.gather(
                     *(client.send_garbage() for client in faulty),
-                    *(client.send_garbage_behind_request() for client in faulty),
+                    *(client.send_garbage_after_request() for client in faulty),
                 )
             case FaultKind.CALLERS_HALF:
                 await asyncio.gather(*(client.send_half_request() for client in faulty))
@@ -132,7 +132,7 @@
     async def _play_node_fault(self, fault: Fault, node: NodeProcess) -> None:
         match fault.kind:
             case FaultKind.NODE_STOP:
-                async with node.restarting:  # one that is being restarted is not stopped meanwhile
+                async with node.restarting:  # no other restart until the new process is ready
                     await node.stop()
                     await node.start()
             case FaultKind.NODE_KILL:
@@ -146,7 +146,7 @@
             case FaultKind.NODE_RELOADS:
                 await self._reload_repeatedly(node, fault.lasts_s)
             case FaultKind.NODE_BAD_RELOAD:
-                node.reload_badly()
+                node.reload_invalid_config()
             case FaultKind.LOG_STALLS:
                 await self._stall_log(node, fault.lasts_s)
             case _ if node.shim is not None:
@@ -163,9 +163,9 @@
             await asyncio.sleep(RELOAD_INTERVAL_S)
 
     async def _stall_log(self, node: NodeProcess, lasts_s: float) -> None:
-        node.log.is_read.clear()
+        node.log.may_read.clear()
         await asyncio.sleep(lasts_s)
-        node.log.is_read.set()
+        node.log.may_read.set()
 
     # System calls and clocks
 
@@ -182,7 +182,7 @@
                 await self._fail_calls(shim, Field.LOG_ERRNO, self._rng.choice(LOG_ERRORS), fault)
 
     async def _fail_calls(self, shim: ShimControl, field: Field, error: int, fault: Fault) -> None:
-        """Make the system calls of one kind fail with an error number."""
+        """Make the system calls that `field` controls fail with `error` for the duration of the fault."""
         shim.set(field, error)
         await asyncio.sleep(fault.lasts_s)
         shim.set(field, 0)
--- a/soak/faulty_clients.py
+++ b/soak/faulty_clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins for clients that misbehave, and check what they are owed all the same."""
+"""Clients that misbehave; they also check that the node responds to them as it must."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import contextlib
 
 from soak.clients import BUDGETS_S, LATE_ANSWER_S, NO_ANSWER_ERRORS, Client, DrawnRequest, read_answer
-from soak.oracle import ANSWER_GRACE_S, IMPROPER_REQUEST_LIMIT_S, TIME_SLACK_S
+from soak.oracle import ANSWER_GRACE_S, INVALID_REQUEST_LIMIT_S, TIME_SLACK_S
 from soak.records import Rule
 from soak.settings import DEADLINE_S
 
@@ -21,10 +21,10 @@
 
 
 class FaultyClient(Client):
-    """Sends what is no proper request, or too much."""
+    """Sends malformed or incomplete requests, floods, or nothing at all."""
 
     async def flood(self) -> None:
-        """Many requests in one write: each is owed its answer."""
+        """Send many requests in one write; each must be answered."""
         reader, writer = await self._connect()
         requests = [self._draw_request() for _ in range(FLOOD_REQUESTS)]
         writer.write(b"".join(request.data for request in requests))
@@ -32,31 +32,31 @@
             self._record_sent(request, max(request.budget_s, BUDGETS_S[1]))
         for request in requests:
             limit_s = DEADLINE_S + ANSWER_GRACE_S + LATE_ANSWER_S + self._oracle.slack_s
-            if not await self._expect_answer(request, reader, limit_s, "one of many in a write"):
+            if not await self._expect_answer(request, reader, limit_s, "one of many in one write"):
                 break
         writer.close()
 
     async def send_garbage(self) -> None:
-        """No HTTP, or a header that is wrong: an error or a close is owed."""
-        await self._expect_end("garbage", self._rng.choice(GARBAGE))
+        """Send invalid HTTP or an unknown path or method; the node must answer with an error or close."""
+        await self._expect_error_or_close("garbage", self._rng.choice(GARBAGE))
 
-    async def send_garbage_behind_request(self) -> None:
-        """A good request, and no HTTP behind it: its answer is owed, then an error."""
+    async def send_garbage_after_request(self) -> None:
+        """Send a valid request followed by invalid HTTP; the request must be answered."""
         reader, writer = await self._connect()
         request = self._draw_request()
         writer.write(request.data + b"no HTTP\r\n\r\n")
         self._record_sent(request, request.budget_s)
-        limit_s = IMPROPER_REQUEST_LIMIT_S + LATE_ANSWER_S + self._oracle.slack_s
-        await self._expect_answer(request, reader, limit_s, "garbage came behind it")
+        limit_s = INVALID_REQUEST_LIMIT_S + LATE_ANSWER_S + self._oracle.slack_s
+        await self._expect_answer(request, reader, limit_s, "garbage was sent after it")
         writer.close()
 
     async def send_half_request(self) -> None:
-        """Half a request, and no more of it: an error or a close is owed."""
+        """Send the first half of a request; the node must answer with an error or close."""
         data = self._draw_request().data
-        await self._expect_end("half a request", data[: len(data) // 2])
+        await self._expect_error_or_close("half a request", data[: len(data) // 2])
 
     async def hold_idle_connections(self, lasts_s: float) -> None:
-        """Connections on which nothing is sent."""
+        """Hold open connections on which nothing is sent."""
         writers = []
         for _ in range(IDLE_CONNECTIONS):
             if self._node.accepts_connections:
@@ -70,7 +70,7 @@
     async def _expect_answer(
         self, request: DrawnRequest, reader: asyncio.StreamReader, limit_s: float, circumstance: str
     ) -> bool:
-        """Read the answer to a request and report if there is none; whether there is one."""
+        """Read the answer to a request and report a missing one; return whether it arrived."""
         try:
             response = await read_answer(reader, limit_s)
         except NO_ANSWER_ERRORS as problem:
@@ -80,17 +80,17 @@
         self._oracle.answered(request.request_id, response.status, response.body)
         return True
 
-    async def _expect_end(self, what: str, data: bytes) -> None:
-        """Send what is no proper request and report if neither an error nor a close comes in time."""
+    async def _expect_error_or_close(self, description: str, data: bytes) -> None:
+        """Send an invalid request; report if the node neither answers nor closes in time."""
         reader, writer = await self._connect()
         began_s = self._loop.time()
         with contextlib.suppress(ConnectionError):
             writer.write(data)
         with contextlib.suppress(TimeoutError, ConnectionError):
-            async with asyncio.timeout(IMPROPER_REQUEST_LIMIT_S + LATE_ANSWER_S):
+            async with asyncio.timeout(INVALID_REQUEST_LIMIT_S + LATE_ANSWER_S):
                 await reader.read(1)
         took_s = self._loop.time() - began_s
-        limit_s = IMPROPER_REQUEST_LIMIT_S + TIME_SLACK_S + self._oracle.slack_s
+        limit_s = INVALID_REQUEST_LIMIT_S + TIME_SLACK_S + self._oracle.slack_s
         if took_s > limit_s and self._node.killed_at_s < began_s:
-            self._oracle.report(Rule.PEER, what, f"no error and no close within {took_s:.1f} s")
+            self._oracle.report(Rule.PEER, description, f"no error and no close within {took_s:.1f} s")
         writer.close()
--- a/soak/node_log.py
+++ b/soak/node_log.py
@@ -1,40 +1,40 @@
-"""The log of one node: a file, into which a pipe from the node may be copied."""
+"""The log of one node: a file that the node writes itself, or that its log pipe is copied into."""
 
 from __future__ import annotations
 
 import asyncio
 from pathlib import Path
 
-BROKEN_INVARIANT = "invariant broken"  # in the lines in which the node counts broken rules itself
+BROKEN_INVARIANT = "invariant broken"  # marks the log lines that report a violation found by the node itself
 PIPE_READ_BYTES = 4096
-MAX_LINE_SHOWN = 200
+MAX_LINE_CHARACTERS = 200
 
 
 class NodeLog:
-    """The log file, over all processes of the node."""
+    """The log file of a node; all processes that the node has had append to it."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.is_read = asyncio.Event()  # clear: nobody reads the pipe
-        self.is_read.set()
+        self.may_read = asyncio.Event()  # the pipe is not read while it is clear
+        self.may_read.set()
 
     async def copy_from(self, pipe: asyncio.StreamReader) -> None:
-        """Append what comes through a pipe until its end."""
+        """Append the data of a pipe to the file until the pipe ends."""
         with self.path.open("ab") as log:
             while data := await pipe.read(PIPE_READ_BYTES):
                 log.write(data)
                 log.flush()
-                await self.is_read.wait()
+                await self.may_read.wait()
 
     def lines(self) -> list[str]:
-        """The lines so far."""
+        """Return the lines logged so far."""
         return self.path.read_text(errors="replace").splitlines() if self.path.exists() else []
 
     def last_line(self) -> str | None:
-        """The end of the last line, if there is one."""
+        """Return the end of the last line; None if the log is empty."""
         lines = self.lines()
-        return lines[-1][-MAX_LINE_SHOWN:] if lines else None
+        return lines[-1][-MAX_LINE_CHARACTERS:] if lines else None
 
     def broken_invariants(self) -> list[str]:
-        """The ends of the lines in which the node counts broken rules itself."""
-        return [line[-MAX_LINE_SHOWN:] for line in self.lines() if BROKEN_INVARIANT in line]
+        """Return the ends of the lines that report a broken invariant."""
+        return [line[-MAX_LINE_CHARACTERS:] for line in self.lines() if BROKEN_INVARIANT in line]
--- a/soak/node_process.py
+++ b/soak/node_process.py
@@ -1,4 +1,4 @@
-"""The nodes: real processes of the program, their configuration files and signals."""
+"""Runs a node as a process: its configuration file, start, signals and end."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 from standins.node_config import node_config
 from standins.readiness import is_ready
 
-READY_TIMEOUT_S = 10.0  # from a start to the first 200 of /-/ready
+READY_TIMEOUT_S = 10.0  # from the start of a process to the first 200 of /-/ready
 READY_POLL_S = 0.05
-ACCEPT_AFTER_TERM_S = 0.3  # for which connections still come after SIGTERM
+ACCEPT_AFTER_TERM_S = 0.3  # clients keep connecting for this long after SIGTERM
 KILL_AFTER_TERM_S = DEADLINE_S + 0.7
-FIRST_RELOAD_S = 1.0  # from a start to the first SIGHUP at least
-UNUSABLE_CONFIG = '{"name": '
+FIRST_RELOAD_S = 1.0  # least time from the start of a process to the first SIGHUP
+INVALID_CONFIG = '{"name": '
 
 
 @dataclass(frozen=True, slots=True)
 class Launch:
-    """What all nodes of a run are started with.
+    """Start parameters that all nodes of a run share.
 
     Attributes:
-        replicas: How many nodes there are.
-        folder: Holds their files.
-        root: The checkout whose program runs.
-        shim: The shim's library; None without a C compiler.
+        replicas: The number of nodes.
+        folder: The folder of the nodes' files.
+        root: The checkout whose program the nodes run.
+        shim: The shim's shared library; None if there is no C compiler.
     """
 
     replicas: int
@@ -50,7 +50,7 @@
 
 
 class NodeProcess:
-    """One node, over all its processes."""
+    """One node, which may have several processes one after another."""
 
     def __init__(self, oracle: Oracle, view: NodeView, agents: list[Agent], launch: Launch) -> None:
         self.view = view
@@ -62,11 +62,11 @@
         self._oracle = oracle
         self._launch = launch
         self._config_path = launch.folder / f"n{view.number}.json"
-        self._agent_index = 0  # of the agent that the configuration names
+        self._agent_index = 0  # index of the agent that the configuration names
         self._process: asyncio.subprocess.Process | None = None
         self._expects_end = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._reloadable_from_s = math.inf  # from when on the process may be sent SIGHUP
+        self._reloadable_from_s = math.inf  # earliest time for SIGHUP
 
     # Configuration
 
@@ -84,39 +84,39 @@
         )
 
     def _write_config(self, text: str) -> None:
-        """Replace the configuration file in one step."""
+        """Replace the configuration file atomically."""
         partial = self._config_path.with_suffix(".new")
         partial.write_text(text)
         partial.replace(self._config_path)
 
-    def _write_good_config(self) -> None:
+    def _write_valid_config(self) -> None:
         self._write_config(json.dumps(self._config()))
 
     def reload(self, *, move: bool) -> None:
-        """Load a new configuration, which names the same agent or, with `move`, another one."""
+        """Write a new configuration and send SIGHUP; with `move` it names another agent."""
         if move:
             self._agent_index = (self._agent_index + 1) % len(self.agents)
-        self._write_good_config()
+        self._write_valid_config()
         self._signal_reload()
 
-    def reload_badly(self) -> None:
-        """Load a configuration that can't be used; a good one lies there afterwards."""
-        self._write_config(UNUSABLE_CONFIG)
+    def reload_invalid_config(self) -> None:
+        """Send SIGHUP with an invalid configuration file, then write a valid one."""
+        self._write_config(INVALID_CONFIG)
         self._signal_reload()
-        self._write_good_config()
+        self._write_valid_config()
 
     def _signal_reload(self) -> None:
-        """Send SIGHUP, which the platform does not send to a process that is not up."""
+        """Send SIGHUP, unless the process is still starting: the platform sends none then."""
         if asyncio.get_running_loop().time() >= self._reloadable_from_s:
             self.signal(signal.SIGHUP)
 
     # Start
 
     async def start(self) -> None:
-        """Start a process and wait until it is ready; one that is not in time is reported."""
+        """Start a process and wait until it is ready; one that takes too long is reported."""
         began_s = asyncio.get_running_loop().time()
         self._reloadable_from_s = math.inf
-        self._write_good_config()
+        self._write_valid_config()
         self._oracle.node_restarted(self.view.number)
         self._expects_end = False
         self._process = await self._start_process()
@@ -128,7 +128,7 @@
         self._reloadable_from_s = max(asyncio.get_running_loop().time(), began_s + FIRST_RELOAD_S)
 
     async def _start_process(self) -> asyncio.subprocess.Process:
-        # Half of the nodes log to a pipe, which may stand still, half to a file, which may fail.
+        # Half of the nodes log to a pipe, which may stall, the others to a file, where writes may fail.
         is_piped = self.view.number % 2 == 0
         with self.log.path.open("ab") as log:
             return await asyncio.create_subprocess_exec(
@@ -163,19 +163,19 @@
     # End
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
-        """Report a process that ends unasked."""
+        """Report a process that ends unexpectedly."""
         status = await process.wait()
         if process is self._process and not self._expects_end:
             self._report_crash(f"ended with status {status}")
             self._stop_connections()
 
-    def _report_crash(self, what: str) -> None:
+    def _report_crash(self, problem: str) -> None:
         last_line = self.log.last_line()
-        ending = "" if last_line is None else f"; its log ends with: {last_line}"
-        self._oracle.report(Rule.CRASH, f"n{self.view.number}", what + ending)
+        log_end = "" if last_line is None else f"; its log ends with: {last_line}"
+        self._oracle.report(Rule.CRASH, f"n{self.view.number}", problem + log_end)
 
     def _stop_connections(self) -> None:
-        """Clients connect no more."""
+        """Stop clients from opening connections."""
         self.view.accepts_connections = False
 
     def _running_process(self) -> asyncio.subprocess.Process | None:
@@ -183,13 +183,13 @@
         return process if process is not None and process.returncode is None else None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if there is one."""
+        """Send a signal to the process if it is running."""
         process = self._running_process()
         if process is not None:
             process.send_signal(number)
 
     async def stop(self) -> None:
-        """End the process as the platform does: SIGTERM, later SIGKILL."""
+        """Stop the process as the platform does: with SIGTERM, and after a while with SIGKILL."""
         process = self._running_process()
         if process is None:
             return
@@ -200,8 +200,8 @@
             async with asyncio.timeout(KILL_AFTER_TERM_S + self._oracle.slack_s):
                 await process.wait()
         except TimeoutError:
-            # Requests in flight that came in time are lost; their clients report them.
-            with contextlib.suppress(ProcessLookupError):  # it has just ended by itself
+            # Requests that arrived in time may be lost now; their clients report them.
+            with contextlib.suppress(ProcessLookupError):  # the process has just ended
                 process.kill()
             await process.wait()
         self._stop_connections()
@@ -209,7 +209,7 @@
             self._report_crash(f"ended with status {process.returncode}")
 
     async def kill(self) -> None:
-        """End the process outright: the requests in flight are nobody's fault."""
+        """Send SIGKILL; the requests that are in flight then are not counted as lost."""
         process = self._running_process()
         if process is None:
             return
@@ -221,7 +221,7 @@
         self.view.killed_at_s = asyncio.get_running_loop().time()
 
     async def end(self) -> None:
-        """End the node for good, and whatever goes with it."""
+        """Kill the process and cancel the node's tasks at the end of the run."""
         self._expects_end = True
         process = self._running_process()
         if process is not None:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,6 +1,6 @@
-"""The fault proxy before a server: holds, splits and resets bytes, and records what nodes send.
+"""A proxy in front of a server: delays, splits or resets the traffic, and records the attempts of the nodes.
 
-What arrives here has arrived at the server's machine, so attempts are counted here.
+An attempt that arrives here counts as arrived at the server's machine.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from soak.records import AttemptRecord
 from standins.sockets import HOST, reset_on_close
 
-SECOND_ANSWER_WITHIN_S = 0.006  # of an answer, in which a second one may come
+SECOND_ANSWER_WITHIN_S = 0.006  # an unsolicited answer is forwarded only within this time of the previous one
 SPLIT_BYTES = 40
 SPLIT_INTERVAL_S = 0.001
 READ_BYTES = 65536
 
 
 class ProxyMode(Enum):
-    """What is done to the bytes that pass; the value ends the name of the fault."""
+    """How the proxy treats traffic; the value is the name of the fault without its prefix."""
 
     GOOD = "good"
     HOLD = "hold"
     SPLIT = "split"
-    RESET = "reset"  # once a request is complete
+    RESET = "reset"  # when a request is complete
     CLOSES_IDLE = "closes_idle"  # right after an answer
 
 
 class Proxy:
-    """Listens where a server is listed, and forwards bytes to it."""
+    """Listens on the listed address of a server and forwards bytes to it."""
 
     def __init__(self, oracle: Oracle, server: str, group: int, host: str) -> None:
         self.oracle = oracle
@@ -42,14 +42,14 @@
         self.host = host
         self.mode = ProxyMode.GOOD
         self.upstream_port = 0
-        self.attempts: dict[int, AttemptRecord] = {}  # by the port from which the proxy calls the server
+        self.attempts: dict[int, AttemptRecord] = {}  # by the proxy's local port to the server
         self.connections: set[ProxyConnection] = set()
         self._released = asyncio.Event()
         self._listener: asyncio.Server | None = None
         self.port = 0
 
     async def start(self) -> None:
-        """Listen, on the same port as before if there was one."""
+        """Start listening; after a crash, on the same port as before."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: ProxyConnection(self), self.host, self.port, reuse_address=True
@@ -57,27 +57,27 @@
         self.port = self._listener.sockets[0].getsockname()[1]
 
     def crash(self) -> None:
-        """Refuse new connections and reset those there are."""
+        """Stop listening and reset the open connections."""
         if self._listener is not None:
             self._listener.close()
         for connection in list(self.connections):
             connection.reset()
 
     def set_mode(self, mode: ProxyMode) -> None:
-        """Treat bytes in another way from now on; bytes that were held are forwarded."""
+        """Change the treatment of traffic; held bytes are forwarded unless the mode is HOLD."""
         self.mode = mode
         if mode is not ProxyMode.HOLD:
             self._released.set()
             self._released = asyncio.Event()
 
     async def wait_until_released(self) -> None:
-        """Wait while bytes are held."""
+        """Wait until the mode is not HOLD."""
         while self.mode is ProxyMode.HOLD:
             await self._released.wait()
 
 
 class AnswerCounter:
-    """Counts complete answers, and says whether the bytes so far end with one."""
+    """Counts complete answers in a stream of bytes."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -85,20 +85,20 @@
         self.count = 0
 
     def feed(self, data: bytes) -> bool:
-        """Take the next bytes; whether they complete an answer."""
+        """Parse the next bytes; return whether they complete an answer."""
         self._is_complete = False
         with contextlib.suppress(httptools.HttpParserError):
             self._parser.feed_data(data)
         return self._is_complete
 
     def on_message_complete(self) -> None:
-        """The parser has read an answer to its end."""
+        """Count a complete answer; called by the parser."""
         self._is_complete = True
         self.count += 1
 
 
 class ProxyConnection(asyncio.Protocol):
-    """A node's connection, and the one to the server that goes with it."""
+    """A connection from a node, and the matching connection to the server."""
 
     def __init__(self, proxy: Proxy) -> None:
         self._proxy = proxy
@@ -107,20 +107,20 @@
         self._parser = httptools.HttpRequestParser(self)
         self._headers: dict[str, str] = {}
         self._path = ""
-        self._first_byte_at_s: float | None = None  # of the request that is coming in
+        self._first_byte_at_s: float | None = None  # of the request being received
         self._attempt: AttemptRecord | None = None
         self._requests = 0
         self._from_node: asyncio.Queue[bytes] = asyncio.Queue()
         self._tasks: list[asyncio.Task[None]] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect to the server, too."""
+        """Accept a node's connection and open one to the server."""
         self._transport = cast(asyncio.Transport, transport)
         self._proxy.connections.add(self)
         self._tasks.append(self._loop.create_task(self._forward()))
 
     def data_received(self, data: bytes) -> None:
-        """Record and forward bytes of the node."""
+        """Parse, record and forward bytes from the node."""
         if self._first_byte_at_s is None:
             self._first_byte_at_s = self._loop.time()
         with contextlib.suppress(httptools.HttpParserError):
@@ -130,7 +130,7 @@
             self.reset()
 
     def eof_received(self) -> None:
-        """The node has ended its sending, which aborts an attempt as well."""
+        """End the attempt: closing the sending side aborts it."""
         self._end_attempt()
 
     def connection_lost(self, _error: Exception | None) -> None:
@@ -150,23 +150,23 @@
         reset_on_close(self._transport)
         self._transport.abort()
 
-    # The parser's calls
+    # Callbacks of the HTTP parser
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Start a new request."""
         self._headers = {}
         self._path = ""
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the request's target."""
+        """Append a part of the request's target."""
         self._path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header of the request."""
+        """Record a header of the request."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """A request is complete: it is the attempt that the server will answer next."""
+        """Record a complete request as the attempt that the server will answer next."""
         oracle = self._proxy.oracle
         now_s = self._loop.time()
         first_at_s = self._first_byte_at_s if self._first_byte_at_s is not None else now_s
@@ -182,7 +182,7 @@
     # Forwarding
 
     async def _forward(self) -> None:
-        """Carry bytes to the server until either side ends."""
+        """Forward bytes to the server until either side closes."""
         try:
             reader, writer = await asyncio.open_connection(HOST, self._proxy.upstream_port)
         except OSError:
@@ -204,7 +204,7 @@
             writer.close()
 
     async def _forward_answers(self, reader: asyncio.StreamReader) -> None:
-        """Carry the server's bytes back, by the mode of the moment; its end too."""
+        """Forward the server's bytes and its close to the node, according to the current mode."""
         answers = AnswerCounter()
         answered_at_s = 0.0
         try:
@@ -212,11 +212,11 @@
                 await self._proxy.wait_until_released()
                 is_answered = answers.count >= self._requests
                 if is_answered and self._loop.time() > answered_at_s + SECOND_ANSWER_WITHIN_S:
-                    continue  # an unsolicited answer comes some milliseconds late, not later
+                    continue  # an unsolicited answer may be a few milliseconds late, not more
                 await self._write_to_node(data)
                 answered_at_s = self._loop.time()
                 self._end_attempt()
-                # Not within an answer: cut short in order, one with no length would look complete.
+                # Close only after a complete answer: a truncated answer without a length would look complete.
                 if answers.feed(data) and self._proxy.mode is ProxyMode.CLOSES_IDLE:
                     break
             self._transport.close()
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,4 +1,4 @@
-"""What the oracle records: requests, their attempts, and the rules that were broken."""
+"""The oracle's records: requests, their attempts, and violations of the rules."""
 
 from __future__ import annotations
 
@@ -8,42 +8,42 @@
 
 
 class Rule(Enum):
-    """What a run must not break; the value is the rule's name in the JSON lines."""
+    """The rules of a run; the value is the rule's name in the JSON lines."""
 
-    LOST = "lost"  # no final answer, or one that no server made
-    DUPLICATE = "duplicate"  # run more often than its class allows, or two attempts in flight at once
-    DRAIN = "drain"  # sent to a server that the node was notified to be draining or removed
-    SLOW_START = "failback"  # a server that is warming up was overloaded
-    DISCONNECTED = "gone"  # sent for a client that had closed
-    DEADLINE = "deadline"  # a server was given more time than was left
-    PEER = "peer"  # no error and no close for a client that sent no proper request
-    CRASH = "crash"  # a process that ended unasked, did not get ready, or did not end
-    INVARIANT = "invariant"  # the node's own count
+    LOST = "lost"  # no answer, a late one, a second one, or a body that no server sent
+    DUPLICATE = "duplicate"  # attempts that the class does not allow, or two in flight at once
+    DRAIN = "drain"  # sent to a server after the node was notified that it is draining or removed
+    SLOW_START = "failback"  # a server was overloaded during its slow start
+    DISCONNECTED = "gone"  # sent after the client had disconnected
+    DEADLINE = "deadline"  # the X-Budget sent to a server exceeds the remaining time
+    PEER = "peer"  # an invalid request got neither an error nor a close
+    CRASH = "crash"  # a process ended unexpectedly or with an error, or did not become ready
+    INVARIANT = "invariant"  # a violation that the node itself logged
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule; the names are the keys of its JSON line."""
+    """One violation of a rule; the field names are the keys of its JSON line."""
 
     rule: Rule
-    request: str  # its id, or what else it is about
+    request: str  # a request's id, or the name of the server, node or input concerned
     at_s: float
     detail: str
-    faults: tuple[str, ...]  # active then
+    faults: tuple[str, ...]  # active at that time, as KIND@TARGET
 
 
 @dataclass(eq=False, slots=True)
 class AttemptRecord:
-    """An attempt that arrived complete at a server's machine."""
+    """An attempt that has arrived completely at a server's machine."""
 
     request_id: str
     server: str
     group: int
     first_byte_at_s: float
     last_byte_at_s: float
-    closed_at_s: float | None = None  # answered, or its connection has ended
+    closed_at_s: float | None = None  # when it was answered or its connection ended
     was_rejected: bool = False
-    body: bytes | None = None  # of the answer that the server made for it
+    body: bytes | None = None  # body of the server's answer; None without a complete 200
 
 
 @dataclass(eq=False, slots=True)
@@ -55,10 +55,10 @@
     node: int
     sent_at_s: float
     budget_s: float
-    disconnected_at_s: float = math.inf  # when its client closed
+    disconnected_at_s: float = math.inf  # when its client disconnected
     is_answered: bool = False
     attempts: list[AttemptRecord] = field(default_factory=list)
 
     def executed_attempts(self) -> list[AttemptRecord]:
-        """The attempts that may have run, in order of arrival."""
+        """Return the attempts that may have run, in order of arrival."""
         return [attempt for attempt in self.attempts if not attempt.was_rejected]
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a schedule: starts the stand-ins and the nodes, lets faults begin and end, gathers what broke."""
+"""Plays a schedule: starts the servers, agents, nodes and clients, plays the faults, collects violations."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from soak.oracle import Oracle
 from soak.records import Rule, Violation
 from soak.schedule import MAX_DURATION_S, FaultKind, Schedule
-from soak.servers import ServerIdentity, ServerStandIn
+from soak.servers import ServerIdentity, SimulatedServer
 from soak.settings import GROUPS
 from soak.shim import NoCompilerError, build_shim
 from standins.checkout import ROOT
@@ -32,44 +32,45 @@
 MIN_SERVERS = 4
 CLIENTS_PER_NODE = 6
 AGENTS_PER_NODE = 2
-MEAN_GAP_S = 0.12  # between a client's answer and its next request
-ANSWER_S = 0.02  # about the time that an answer takes, for the load that servers are built for
-UTILIZATION = 0.8  # of servers by that load
+MEAN_GAP_S = 0.12  # from an answer to the client's next request
+EXPECTED_LATENCY_S = 0.02  # approximate time to an answer, used to size the servers
+UTILIZATION = 0.8  # of the servers' capacity by the clients' requests
 LAG_INTERVAL_S = 0.02
-LAG_SAMPLES = 25  # whose worst counts
-LAG_FACTOR = 2.0  # by which the slack exceeds the lag measured
-LISTEN_PORT = 9000  # of nodes
-FIRST_SERVER_HOST = 100  # the last part of the first server's address
+LAG_SAMPLES = 25  # the slack follows the worst of the last samples
+LAG_FACTOR = 2.0  # ratio of the slack to the measured lag
+NODE_PORT = 9000
+FIRST_SERVER_HOST = 100  # last octet of the first server's address
 START_TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What a run found, and how much it tried."""
+    """The violations and totals of a run."""
 
     violations: tuple[Violation, ...]
     requests: int
     attempts: int
     answers: dict[int, int]  # by status
-    has_shim: bool  # system calls and clocks could be made to fail
-    worst_lag_s: float  # of the soak itself
+    has_shim: bool  # False if there was no C compiler: faults of system calls and clocks had no effect
+    worst_lag_s: float  # largest delay of the soak's own event loop
 
 
 def servers_for(nodes: int) -> int:
-    """How many servers a run with so many nodes has."""
+    """Return the number of servers in a run with this number of nodes."""
     return max(MIN_SERVERS, nodes // 2)
 
 
 def server_capacity_per_s(nodes: int) -> float:
-    """The requests that each warm server of a run can do."""
-    requests_per_s = nodes * CLIENTS_PER_NODE / (MEAN_GAP_S + ANSWER_S)
+    """Return the requests per second that each warm server of a run can serve."""
+    requests_per_s = nodes * CLIENTS_PER_NODE / (MEAN_GAP_S + EXPECTED_LATENCY_S)
     return requests_per_s / servers_for(nodes) / UTILIZATION
 
 
-def own_network() -> str:
-    """The first three parts of addresses that no other run on this machine uses.
+def loopback_prefix() -> str:
+    """Return the first three octets of loopback addresses that are derived from the process id.
 
-    On a shared address a port that is free during a restart may go to any connection.
+    Other runs on the machine use other addresses. On a shared address, a port that is free while its owner
+    restarts could be assigned to an unrelated connection.
     """
     process_id = os.getpid()
     return f"127.{1 + process_id // 256 % 250}.{process_id % 256}"
@@ -85,14 +86,14 @@
         self._loop = asyncio.get_running_loop()
         self._began_s = self._loop.time()
         self._worst_lag_s = 0.0
-        self._network = own_network()
+        self._address_prefix = loopback_prefix()
         self.oracle = self._make_oracle()
         self._registry = EndpointRegistry()
         self._servers = [self._make_server(number) for number in range(servers_for(schedule.nodes))]
         self._nodes: list[NodeProcess] = []
-        self._clients: list[list[PatientClient]] = []  # of each node
+        self._clients: list[list[PatientClient]] = []  # by node number
         self._tasks: set[asyncio.Task[object]] = set()
-        self._problems: list[BaseException] = []  # of the soak itself
+        self._internal_errors: list[BaseException] = []  # raised by the soak's own tasks
         self._requests = 0
         self._has_shim = False
 
@@ -103,11 +104,11 @@
             oracle.pause_allowance_s = MAX_DURATION_S[FaultKind.NODE_PAUSE]
         return oracle
 
-    def _make_server(self, number: int) -> ServerStandIn:
-        host = f"{self._network}.{FIRST_SERVER_HOST + number}"
+    def _make_server(self, number: int) -> SimulatedServer:
+        host = f"{self._address_prefix}.{FIRST_SERVER_HOST + number}"
         identity = ServerIdentity(f"s{number}", number % GROUPS, host)
         capacity = server_capacity_per_s(self._schedule.nodes)
-        return ServerStandIn(self.oracle, self._registry, identity, capacity, self._rng)
+        return SimulatedServer(self.oracle, self._registry, identity, capacity, self._rng)
 
     def _active_faults(self) -> tuple[str, ...]:
         at_s = self._loop.time() - self._began_s
@@ -123,13 +124,13 @@
         task.add_done_callback(self._task_done)
 
     def _task_done(self, task: asyncio.Task[object]) -> None:
-        """Keep what went wrong in the soak itself: its run proves nothing then."""
+        """Keep an error of the soak itself, because it makes the run's result invalid."""
         self._tasks.discard(task)
-        if not task.cancelled() and (problem := task.exception()) is not None:
-            self._problems.append(problem)
+        if not task.cancelled() and (error := task.exception()) is not None:
+            self._internal_errors.append(error)
 
     async def play(self) -> Result:
-        """Play the schedule to its end; raises what went wrong in the soak itself."""
+        """Play the schedule to its end; raises the first error of the soak itself."""
         with tempfile.TemporaryDirectory(prefix="soak-") as folder:
             try:
                 async with asyncio.timeout(START_TIMEOUT_S):
@@ -137,8 +138,8 @@
                 await self._play_faults()
             finally:
                 await self._end()
-            if self._problems:
-                raise self._problems[0]
+            if self._internal_errors:
+                raise self._internal_errors[0]
             self._report_broken_invariants()
         return self._result()
 
@@ -177,7 +178,7 @@
         agents = [Agent(self._registry, self.oracle, number) for _ in range(AGENTS_PER_NODE)]
         for agent in agents:
             await agent.start()
-        view = NodeView(number, (f"{self._network}.{number + 1}", LISTEN_PORT))
+        view = NodeView(number, (f"{self._address_prefix}.{number + 1}", NODE_PORT))
         return NodeProcess(self.oracle, view, agents, launch)
 
     def _start_clients(self) -> None:
@@ -194,7 +195,7 @@
         return self._make_client(node, FaultyClient)
 
     async def _measure_lag(self) -> None:
-        """Widen the limits by how late the soak itself runs, and have agents count what is overdue."""
+        """Widen the time limits by the soak's own lag, and let the agents record overdue entries."""
         recent_s = [0.0] * LAG_SAMPLES
         while True:
             due_s = self._loop.time() + LAG_INTERVAL_S
@@ -203,7 +204,7 @@
             self.oracle.slack_s = LAG_FACTOR * max(recent_s)
             self._worst_lag_s = max(self._worst_lag_s, recent_s[-1])
             for agent in self._registry.agents:
-                agent.count_overdue()
+                agent.record_overdue()
 
     async def _end(self) -> None:
         for task in list(self._tasks):
@@ -220,7 +221,7 @@
 
 
 def play(schedule: Schedule, root: Path = ROOT) -> Result:
-    """Play a schedule with the program of a checkout.
+    """Play a schedule with the nodes of the checkout at `root`.
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,6 +1,6 @@
-"""Which faults a run meets, and when: drawn from a seed, written to a file, read back.
+"""Fault schedules: draws them from a seed, and writes and reads them as JSON.
 
-All faults of a run follow from its schedule, so that it can be played again and cut short.
+A schedule determines all faults of a run, so that the run can be repeated and the schedule reduced.
 """
 
 from __future__ import annotations
@@ -13,67 +13,67 @@
 
 
 class FaultKind(Enum):
-    """One kind of fault; the target is a node's or a server's number. The values stand in saved schedules."""
+    """One kind of fault; the target is the number of a node or server. Saved schedules contain the values."""
 
     # Nodes
     NODE_STOP = "node_stop"  # SIGTERM, and a new process once it has ended
     NODE_KILL = "node_kill"  # SIGKILL, and a new process
-    NODE_PAUSE = "node_pause"  # SIGSTOP and SIGCONT: the process is held up
-    NODE_RELOAD = "node_reload"  # SIGHUP with another address of discovery
+    NODE_PAUSE = "node_pause"  # SIGSTOP, and SIGCONT at the end
+    NODE_RELOAD = "node_reload"  # SIGHUP with another discovery address
     NODE_RELOADS = "node_reloads"  # SIGHUP repeatedly
-    NODE_BAD_RELOAD = "node_bad_reload"  # SIGHUP with a file that can't be used
-    # What the shim does to a node's system calls
-    CLOCK_STEP = "clock_step"  # the wall clock is stepped forward, or back
+    NODE_BAD_RELOAD = "node_bad_reload"  # SIGHUP with an invalid file
+    # A node's clock, system calls and log
+    CLOCK_STEP = "clock_step"  # the wall clock steps forward or back
     ACCEPT_FAILS = "accept_fails"  # EMFILE, ENFILE, ECONNABORTED
     SOCKET_FAILS = "socket_fails"  # EMFILE for new sockets
     LOG_FAILS = "log_fails"  # ENOSPC or EIO for writes to standard error
-    LOG_STALLS = "log_stalls"  # nobody reads standard error
+    LOG_STALLS = "log_stalls"  # standard error is not read
     # Servers
     SERVER_DRAIN = "server_drain"  # listed as draining, later as removed
-    SERVER_RESTART = "server_restart"  # resets, and returns cold
-    SERVER_HANG = "server_hang"  # accepts and reads, and never answers
+    SERVER_RESTART = "server_restart"  # connections are reset, and the server returns cold
+    SERVER_HANG = "server_hang"  # requests are read and not answered
     SERVER_SLOW = "server_slow"
     SERVER_ERRORS = "server_errors"  # 500
     SERVER_REFUSES = "server_refuses"  # 503 with X-Rejected
     SERVER_NO_LENGTH = "server_no_length"  # answers that end with the connection
-    SERVER_SECOND_ANSWER = "server_second_answer"  # one more, some milliseconds late
-    SERVER_GARBAGE = "server_garbage"  # answers that are no HTTP, or cut short
-    # The proxy before each server
-    PROXY_HOLD = "proxy_hold"  # bytes stop, connections stay open
-    PROXY_SPLIT = "proxy_split"  # bytes come in small pieces
-    PROXY_RESET = "proxy_reset"  # connections are reset under requests
-    PROXY_CLOSES_IDLE = "proxy_closes_idle"  # right after an answer
-    # Discovery, as one node's agent has it
+    SERVER_SECOND_ANSWER = "server_second_answer"  # an unsolicited answer, a few milliseconds late
+    SERVER_GARBAGE = "server_garbage"  # answers that are not HTTP, or truncated
+    # The proxy in front of each server
+    PROXY_HOLD = "proxy_hold"  # bytes are held, connections stay open
+    PROXY_SPLIT = "proxy_split"  # bytes arrive in small pieces
+    PROXY_RESET = "proxy_reset"  # connections are reset with a request in flight
+    PROXY_CLOSES_IDLE = "proxy_closes_idle"  # connections are closed right after an answer
+    # The discovery agents of one node
     AGENT_SILENT = "agent_silent"  # calls are read and not answered
-    AGENT_DOWN = "agent_down"  # connections are reset, new ones too
-    AGENT_SLOW = "agent_slow"  # answers in pieces, after a while
+    AGENT_DOWN = "agent_down"  # connections are reset, including new ones
+    AGENT_SLOW = "agent_slow"  # answers are delayed and sent in pieces
     AGENT_RESETS = "agent_resets"  # open watches are reset once
-    AGENT_FRAMING = "agent_framing"  # answers with no length, or in chunks
+    AGENT_FRAMING = "agent_framing"  # answers without a length, or in chunks
     # Clients
     CALLERS_LEAVE = "callers_leave"  # disconnect with requests in flight
     CALLERS_FLOOD = "callers_flood"  # many requests in one write
-    CALLERS_GARBAGE = "callers_garbage"  # also behind a good request
+    CALLERS_GARBAGE = "callers_garbage"  # invalid requests, alone or after a valid one
     CALLERS_HALF = "callers_half"  # stop in the middle of a request
     CALLERS_IDLE = "callers_idle"  # many connections without a request
 
 
 SERVER_KINDS = frozenset(kind for kind in FaultKind if kind.value.startswith(("server_", "proxy_")))
-# While nothing is accepted nothing is answered: for longer than an answer may be late it would be lost.
+# A node answers nothing while it is paused or can't accept. After a longer fault, answers would be too late.
 MAX_DURATION_S = {FaultKind.NODE_PAUSE: 0.15, FaultKind.SOCKET_FAILS: 1.0, FaultKind.ACCEPT_FAILS: 0.4}
 MIN_DURATION_S = 0.05
 DEFAULT_MAX_DURATION_S = 4.0
 FAULTS_PER_S = 1.5
-QUIET_START_S = 1.0  # without faults
-QUIET_END_S = 2.0  # without the begin of a fault
+QUIET_START_S = 1.0  # no fault starts in this time after the start of the run
+QUIET_END_S = 2.0  # no fault starts in this time before the end of the run
 
 
 class ScheduleError(Exception):
-    """A schedule that can't be played; the text says in one line why."""
+    """Raised for a schedule that can't be played; the message gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: what, when it begins, how long it lasts, which node or server it hits."""
+    """One fault: its kind, start, duration, and the number of the node or server that it affects."""
 
     kind: FaultKind
     at_s: float
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A run: its length, its size, and its faults in order of time."""
+    """A run: its seed, duration, number of nodes, and faults ordered by start."""
 
     seed: int
     seconds: float
@@ -91,11 +91,11 @@
     faults: tuple[Fault, ...]
 
     def to_json(self) -> str:
-        """The schedule as a file holds it."""
+        """Return the schedule as JSON, the format of saved schedules."""
         return json.dumps(asdict(self), default=lambda kind: kind.value)
 
     def active(self, at_s: float) -> list[Fault]:
-        """The faults that are active at a moment of the run."""
+        """Return the faults that are active `at_s` seconds into the run."""
         return [fault for fault in self.faults if fault.at_s <= at_s <= fault.at_s + fault.lasts_s]
 
 
@@ -108,7 +108,7 @@
     *,
     faults_per_s: float = FAULTS_PER_S,
 ) -> Schedule:
-    """A schedule of overlapping faults, the same for the same arguments."""
+    """Draw a schedule of overlapping faults; the same arguments give the same schedule."""
     rng = random.Random(seed)
     ordered = sorted(kinds, key=lambda kind: kind.value)
     latest_s = seconds - QUIET_END_S
@@ -123,7 +123,7 @@
 
 
 def read_schedule(text: str) -> Schedule:
-    """Read what `to_json` wrote; raises `ScheduleError` where it is none."""
+    """Parse a schedule that `to_json` wrote; raises `ScheduleError` if the text is not a schedule."""
     try:
         obj: dict[str, Any] = json.loads(text)
         faults = tuple(
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for servers: they answer each request with a body of its own, or fail in a way that is set."""
+"""Simulated servers: they answer each request with a unique body, or fail as their mode says."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from standins.messages import receive_message, render_response
 from standins.sockets import reset
 
-SERVICE_TIME_FACTORS = (0.5, 1.5)  # of the mean service time, for one request
-MAX_QUEUE_S = 0.3  # with more work than that waiting a request is rejected
-SLOW_FACTOR = 15.0  # of the service time, added to it
+SERVICE_TIME_FACTORS = (0.5, 1.5)  # range of one request's service time, relative to the mean
+MAX_QUEUE_S = 0.3  # a request that would wait longer is rejected
+SLOW_FACTOR = 15.0  # extra delay of a slow answer, relative to the service time
 SECOND_ANSWER_AFTER_S = 0.003
-RESET_AFTER_S = 0.005  # from an answer without a length to the reset that makes it none
+RESET_AFTER_S = 0.005  # from an answer without a length to the reset that invalidates it
 LARGE_BODY_BYTES = 30_000
 LARGE_BODY_FRACTION = 0.05
-CUT_ANSWER_FRACTION = 0.5  # of faulty answers; the others are no HTTP
-RESET_FRACTION = 0.5  # of faulty answers, behind which the connection is reset
-RESET_WITHOUT_LENGTH_FRACTION = 0.3  # of answers without a length
+TRUNCATED_FRACTION = 0.5  # of garbage answers; the others are not HTTP
+RESET_FRACTION = 0.5  # of garbage answers; the connection is reset after them
+RESET_WITHOUT_LENGTH_FRACTION = 0.3  # of answers without a length; they are ended by a reset
 
 
 class ServerMode(Enum):
-    """How a server answers; the value ends the name of the fault."""
+    """How a server answers; the value is the name of the fault without its prefix."""
 
     GOOD = "good"
     HANG = "hang"
@@ -43,15 +43,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """A server's name, the group in which it drops repeats, and the address that it is listed with."""
+    """A server's name, its deduplication group, and the host of its listed address."""
 
     name: str
     group: int
     host: str
 
 
-class ServerStandIn(Listener):
-    """One server behind its proxy; it works off one request after another."""
+class SimulatedServer(Listener):
+    """One server behind its proxy; it processes one request at a time."""
 
     def __init__(
         self,
@@ -61,10 +61,10 @@
         capacity_per_s: float,
         rng: random.Random,
     ) -> None:
-        """`capacity_per_s`: the requests that it can do when warm."""
+        """`capacity_per_s` is the number of requests per second that the warm server can serve."""
         super().__init__()
         self.name = identity.name
-        self.restarting = asyncio.Lock()  # held from a drain or a crash to the return
+        self.restarting = asyncio.Lock()  # held from a drain or crash until the server is back
         self.proxy = Proxy(oracle, identity.name, identity.group, identity.host)
         self._group = identity.group
         self._oracle = oracle
@@ -73,11 +73,11 @@
         self._capacity_per_s = capacity_per_s
         self._busy_until_s = 0.0
         self._mode = ServerMode.GOOD
-        self._may_answer = asyncio.Event()  # clear: the server hangs
+        self._may_answer = asyncio.Event()  # clear while the server hangs
         self._may_answer.set()
 
     async def start(self, backlog: int = 100) -> None:
-        """Listen, and be in service from the beginning."""
+        """Start listening, and register the server as running since the start of the soak."""
         await super().start(backlog)
         self.proxy.upstream_port = self.port
         await self.proxy.start()
@@ -88,7 +88,7 @@
         return Entry(self.name, address, self._group, status, started_at_wall_ms, started_at_s)
 
     def set_mode(self, mode: ServerMode) -> None:
-        """Answer in another way from now on."""
+        """Change how the server answers from now on."""
         self._mode = mode
         if mode is ServerMode.HANG:
             self._may_answer.clear()
@@ -96,22 +96,22 @@
             self._may_answer.set()
 
     def crash(self) -> None:
-        """The process ends: its connections are reset, and new ones refused."""
+        """Simulate the end of the process: reset its connections and refuse new ones."""
         self.proxy.crash()
 
-    async def return_cold(self) -> None:
-        """A new process: the list states its start."""
+    async def restart_cold(self) -> None:
+        """Simulate a new, cold process and register its start time."""
         await self.proxy.start()
         self._oracle.server_started(self.name)
         started_at_s = asyncio.get_running_loop().time()
         self._registry.change(self._entry(Status.ACTIVE, int(time.time() * 1000.0), started_at_s))
 
     def set_status(self, status: Status) -> None:
-        """Drain, be removed or come back, by the list."""
+        """Change the server's status in the list."""
         self._registry.set_status(self.name, status)
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer request after request as long as the connection is to stay open."""
+        """Answer each request until the connection is to be closed."""
         port = writer.get_extra_info("peername")[1]
         keeps_open = True
         while keeps_open:
@@ -120,7 +120,7 @@
             keeps_open = attempt is not None and await self._answer(writer, attempt)
 
     async def _answer(self, writer: asyncio.StreamWriter, attempt: AttemptRecord) -> bool:
-        """Answer an attempt; whether the connection stays open."""
+        """Answer an attempt; return whether the connection stays open."""
         mode = self._mode
         now_s = asyncio.get_running_loop().time()
         begins_at_s = max(now_s, self._busy_until_s)
@@ -128,14 +128,14 @@
             attempt.was_rejected = True
             writer.write(render_response(503, b"full", "X-Rejected: 1\r\n"))
             return True
-        await asyncio.sleep(self._work_s(mode, now_s, begins_at_s))
+        await asyncio.sleep(self._enqueue(mode, now_s, begins_at_s))
         await self._may_answer.wait()
         if writer.is_closing():
             return False
         return await self._write_answer(writer, attempt, mode)
 
-    def _work_s(self, mode: ServerMode, now_s: float, begins_at_s: float) -> float:
-        """Take a request into the queue; how long it takes from now on."""
+    def _enqueue(self, mode: ServerMode, now_s: float, begins_at_s: float) -> float:
+        """Add a request to the queue; return the seconds from now until its answer."""
         capacity_per_s = self._capacity_per_s * self._oracle.capacity_fraction(self.name, now_s)
         service_s = self._rng.uniform(*SERVICE_TIME_FACTORS) / capacity_per_s
         self._busy_until_s = begins_at_s + service_s
@@ -145,7 +145,7 @@
     async def _write_answer(
         self, writer: asyncio.StreamWriter, attempt: AttemptRecord, mode: ServerMode
     ) -> bool:
-        """Write what the mode says; whether the connection stays open."""
+        """Write the answer that the mode selects; return whether the connection stays open."""
         if mode is ServerMode.ERRORS:
             writer.write(render_response(500, b"error"))
             return True
@@ -161,22 +161,22 @@
         return True
 
     def _draw_body(self, attempt: AttemptRecord) -> bytes:
-        """A body that no other attempt gets."""
+        """Draw a body that is unique to the attempt."""
         padding = b"x" * LARGE_BODY_BYTES if self._rng.random() < LARGE_BODY_FRACTION else b""
         return f"{attempt.request_id} by {self.name} {self._rng.getrandbits(64):016x}".encode() + padding
 
     async def _write_second_answer(self, writer: asyncio.StreamWriter, body: bytes) -> bool:
         await asyncio.sleep(SECOND_ANSWER_AFTER_S)
-        if writer.is_closing():  # a write would raise
+        if writer.is_closing():  # writing to it would raise
             return False
         writer.write(render_response(200, b"second " + body))
         return True
 
     async def _write_garbage(self, writer: asyncio.StreamWriter, body: bytes) -> bool:
-        """An answer that can't be read as one: half of it, or no HTTP at all."""
+        """Write an invalid answer: the first half of a valid one, or bytes that are not HTTP."""
         answer = render_response(200, body)
-        is_cut = self._rng.random() < CUT_ANSWER_FRACTION
-        writer.write(answer[: len(answer) // 2] if is_cut else b"\x00 no HTTP\r\n\r\n")
+        is_truncated = self._rng.random() < TRUNCATED_FRACTION
+        writer.write(answer[: len(answer) // 2] if is_truncated else b"\x00 no HTTP\r\n\r\n")
         await writer.drain()
         if self._rng.random() < RESET_FRACTION:
             reset(writer.transport)
@@ -185,7 +185,7 @@
     async def _write_without_length(
         self, writer: asyncio.StreamWriter, attempt: AttemptRecord, body: bytes
     ) -> bool:
-        """An answer that its connection ends: in order, or by a reset, which makes it no answer."""
+        """Write an answer that ends with the connection: a close completes it, a reset invalidates it."""
         is_reset = self._rng.random() < RESET_WITHOUT_LENGTH_FRACTION
         if not is_reset:
             attempt.body = body
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the nodes of a soak, and what its rules allow."""
+"""The nodes' settings in a soak, and the limits that its rules check."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request of a class may run more than once; the value is the one of the wire."""
+    """Whether the requests of a class may run more than once; the value is the one on the wire."""
 
     IDEMPOTENT = "retryable"
     KEYED = "dedup"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests."""
+    """A request class of the nodes, and its fraction of the clients' requests."""
 
     name: str
     idempotency: Idempotency
@@ -34,20 +34,20 @@
     RequestClass("pay", Idempotency.NON_IDEMPOTENT, 0.25),
 )
 IDEMPOTENCY_BY_CLASS = {request_class.name: request_class.idempotency for request_class in CLASSES}
-# The objective sets how long retries wait: with a short one they are over before a rule about what comes too
-# late (for a client that has disconnected, after a repeat's window) can break.
+# The objective determines how long retries wait. With a short one, all retries are over before a rule about
+# late attempts (after the client has disconnected, or after the deduplication window) can be broken.
 OBJECTIVE_MS = 800.0
 DEADLINE_MS = 1500.0
 DEADLINE_S = DEADLINE_MS / 1000.0
 DEDUPLICATION_WINDOW_MS = 1000.0
 MAX_ATTEMPTS = 5
 DRAIN_GRACE_S = 1.0
-START_CAPACITY = 0.16  # of a server that has just started, as a fraction
+START_CAPACITY = 0.16  # fraction of the full capacity that a server has just after its start
 RAMP_S = 10.0
 OVERLOAD_FACTOR = 2.5
 OVERLOAD_WINDOW_S = 1.5
-GROUPS = 2  # of servers, each of which drops the repeats of a keyed request
-DESCRIPTORS = 256
+GROUPS = 2  # of servers; a group deduplicates the attempts of a keyed request
+DESCRIPTORS = 256  # limit of a node
 IDLE_TIMEOUT_MS = 5_000.0
 CONNECT_TIMEOUT_MS = 250.0
 PERMISSIONS = {
@@ -78,7 +78,7 @@
 
 
 def node_settings(replicas: int, replica_index: int) -> dict[str, Any]:
-    """The settings of one node of so many."""
+    """Build the settings of the node with number `replica_index`."""
     classes = [_class_settings(request_class) for request_class in CLASSES]
     common = node_config.node_settings(
         classes, PERMISSIONS, RULES, replicas=replicas, replica_index=replica_index
--- a/soak/shim.c
+++ b/soak/shim.c
@@ -1,7 +1,7 @@
-/* Preloaded into a node: steps its wall clock and lets chosen system calls fail.
+/* Preloaded into a node: steps its wall clock and makes selected system calls fail.
  *
- * SOAK_SHIM names a file that is mapped by the node and by whoever controls it; its layout is `struct control`,
- * kept in step with soak/shim.py. Without it every call goes through unchanged.
+ * SOAK_SHIM names a file that the node and the soak both map; its layout is `struct control`, which must match
+ * soak/shim.py. If SOAK_SHIM is not set or the file can't be mapped, all calls are passed on unchanged.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -17,14 +17,14 @@
 
 struct control {
     volatile int64_t wall_offset_ns;
-    volatile int64_t accept_errno; /* 0: accept works */
+    volatile int64_t accept_errno; /* error number of failing calls; 0: calls are passed on */
     volatile int64_t socket_errno;
     volatile int64_t log_errno;
     volatile int64_t calls_failed;
 };
 
-static struct control none;
-static struct control *control = &none;
+static struct control no_faults;
+static struct control *control = &no_faults;
 
 __attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("SOAK_SHIM");
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -1,4 +1,4 @@
-"""Builds the shim and controls it: a node's wall clock and the failures of its system calls."""
+"""Builds the shim and controls it: steps a node's wall clock and makes its system calls fail."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class NoCompilerError(Exception):
-    """There is no C compiler to build the shim with."""
+    """Raised if there is no C compiler to build the shim."""
 
 
 class Field(IntEnum):
-    """The words of `struct control` in shim.c, in order."""
+    """The fields of `struct control` in shim.c, in order."""
 
     WALL_OFFSET_NS = 0
     ACCEPT_ERRNO = 1
@@ -29,10 +29,12 @@
 
 
 def build_shim(folder: Path) -> Path:
-    """Compile the shim into a folder; raises `NoCompilerError`."""
+    """Compile the shim into `folder` and return the library's path; raises `NoCompilerError`."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
-        raise NoCompilerError("no C compiler found (cc, gcc): faults of clocks and system calls are left out")
+        raise NoCompilerError(
+            "no C compiler found (cc, gcc): faults of clocks and system calls have no effect"
+        )
     library = folder / "shim.so"
     subprocess.run(
         [compiler, "-shared", "-fPIC", "-O1", "-Wall", "-o", str(library), str(SOURCE), "-ldl"],
@@ -43,7 +45,7 @@
 
 
 class ShimControl:
-    """The control words of one node."""
+    """The mapped control structure of one node's shim."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -53,14 +55,14 @@
             self._words = mmap.mmap(file.fileno(), size)
 
     def set(self, field: Field, value: int) -> None:
-        """Set a word; the node sees it at its next call."""
+        """Set a field; it takes effect at the node's next system call."""
         WORD.pack_into(self._words, field * WORD.size, value)
 
     def get(self, field: Field) -> int:
-        """A word as it is now."""
+        """Return the current value of a field."""
         value: int = WORD.unpack_from(self._words, field * WORD.size)[0]
         return value
 
     def environment(self, library: Path) -> dict[str, str]:
-        """The environment variables that make a node use the shim."""
+        """Return the environment variables that make a node use the shim."""
         return {"LD_PRELOAD": str(library), "SOAK_SHIM": str(self.path)}
--- a/soak/shrink.py
+++ b/soak/shrink.py
@@ -1,4 +1,4 @@
-"""Cuts a schedule short: fewer faults that still break a rule."""
+"""Reduces a schedule to fewer faults that still break a rule."""
 
 from __future__ import annotations
 
@@ -11,9 +11,17 @@
 def shrink(
     schedule: Schedule, breaks_rule: Callable[[Schedule], bool], max_plays: int
 ) -> tuple[Schedule, int]:
-    """The smallest schedule found that still breaks a rule, and how many plays it took.
+    """Reduce a schedule by delta debugging.
 
-    Delta debugging: ever smaller parts are removed as long as what remains still breaks one.
+    Removes ever smaller parts of the faults as long as the rest still breaks a rule.
+
+    Args:
+        schedule: A schedule that breaks a rule.
+        breaks_rule: Plays a schedule and returns whether it breaks a rule.
+        max_plays: The maximum number of plays.
+
+    Returns:
+        The smallest schedule found that breaks a rule, and the number of plays.
     """
     faults = list(schedule.faults)
     plays = 0
@@ -33,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reduction:
-    """The result of one round of removing parts."""
+    """The result of one attempt to remove a part."""
 
-    faults: list[Fault] | None  # that remain; None: no part can be removed
+    faults: list[Fault] | None  # remaining faults; None if no part can be removed
     plays: int
 
 
@@ -47,7 +55,7 @@
     *,
     max_plays: int,
 ) -> _Reduction:
-    """Remove the first part without which a rule still breaks."""
+    """Remove the first part of the faults without which a rule is still broken."""
     plays = 0
     for start in range(0, len(faults), part_size):
         if plays >= max_plays:
