--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""What a call and a change of the list cost, by the number of servers."""
+"""Benchmarks of calls and endpoint list changes, by the number of servers."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,7 @@
 """Command line of the bench: `python -m bench decisions` and `python -m bench calls`.
 
-Prints one JSON line a figure, and a table on standard error; exits with 2 if the options can't be met.
+Prints one JSON line per measured case, and a table on standard error. Exits with status 2 if the options are
+invalid or a measurement fails.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 
 
 class RootError(Exception):
-    """A checkout that can't be measured; the text says in one line why."""
+    """Raised for a checkout that can't be measured; the message gives the reason in one line."""
 
 
 def print_row(*cells: object) -> None:
-    """One line of the table for people."""
+    """Print a row of the table on standard error."""
     print(
         " ".join(f"{cell:>10.1f}" if isinstance(cell, float) else f"{cell:>10}" for cell in cells),
         file=sys.stderr,
@@ -30,27 +31,27 @@
 
 
 def prepare_decisions(root: Path) -> None:
-    """Make imports of the decision module find that of a checkout.
+    """Put the checkout at `root` first in the import path.
 
     Raises:
-        RootError: The checkout is from before `workspond/policy`.
+        RootError: The checkout is too old to have `workspond/policy`.
     """
     if not (root / "workspond" / "policy").is_dir():
-        raise RootError(f"{root} has no workspond/policy: of such a checkout only calls can be measured")
-    sys.path.insert(0, str(root))  # before the folder that this program was started in
+        raise RootError(f"{root} has no workspond/policy; only `calls` can measure such a checkout")
+    sys.path.insert(0, str(root))  # before the working directory
 
 
 def run_decisions(options: argparse.Namespace) -> None:
-    """Time the module in every case of the options; microseconds.
+    """Time the decision module in each combination of the options, in microseconds.
 
     Raises:
         RootError: The checkout's decision module can't be measured.
     """
     prepare_decisions(options.root)
     try:
-        from bench.decisions import Case, Run  # noqa: PLC0415 - only now is the checkout in sys.path
+        from bench.decisions import Case, Run  # noqa: PLC0415 - needs the checkout in sys.path
     except ImportError as problem:
-        raise RootError(f"the decision module of {options.root} has other names: {problem}") from None
+        raise RootError(f"the decision module of {options.root} is not compatible: {problem}") from None
     print_row("state", "copies", "servers", "request", "outcome", "change", "whole list")
     for state, replicas, servers in itertools.product(options.states, options.copies, options.servers):
         cost = Run(Case(servers, replicas, state, options.calls)).cost()
@@ -66,11 +67,11 @@
 
 
 def run_calls(options: argparse.Namespace) -> None:
-    """Measure a real node with every number of servers of the options, in turn.
+    """Measure a real node with each number of servers, as often as the option `rounds` says.
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
-        FleetError: A run gave no figure.
+        FleetError: A run gave no valid figures.
     """
     print_row("servers", "cpu us", "p50 ms", "p99 ms", "MB", "lists KB", "calls")
     for servers in options.servers * options.rounds:
@@ -88,7 +89,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """The program; its exit status."""
+    """Run the bench and return the exit status."""
     options = parse_arguments(arguments)
     try:
         if options.command == "decisions":
--- a/bench/arguments.py
+++ b/bench/arguments.py
@@ -1,4 +1,4 @@
-"""Command line of the bench: the options of `decisions` and `calls`, and their limits."""
+"""Parses the command line of the bench."""
 
 from __future__ import annotations
 
@@ -21,84 +21,90 @@
 STATE_NAMES = ", ".join(state.value for state in ServerState)
 
 
-def whole_numbers(maximum: int) -> Callable[[str], list[int]]:
-    """A reader of whole numbers from 1 on with commas between them; it raises `ArgumentTypeError`."""
+def integer_list(maximum: int) -> Callable[[str], list[int]]:
+    """Return a parser of comma-separated integers from 1 to `maximum`; it raises `ArgumentTypeError`."""
 
-    def read(text: str) -> list[int]:
+    def parse(text: str) -> list[int]:
         try:
             values = [int(part) for part in text.split(",")]
         except ValueError:
-            raise argparse.ArgumentTypeError(f"{text!r:.60} is no list of whole numbers") from None
+            raise argparse.ArgumentTypeError(
+                f"must be whole numbers with commas between them, is {text!r:.60}"
+            ) from None
         if not all(1 <= value <= maximum for value in values):
-            raise argparse.ArgumentTypeError(f"{text!r:.60}: each must be from 1 to {maximum}")
+            raise argparse.ArgumentTypeError(f"must be from 1 to {maximum}, is {text!r:.60}")
         return values
 
-    return read
+    return parse
 
 
-def whole_number(maximum: int) -> Callable[[str], int]:
-    """A reader of the first of such numbers; it raises `ArgumentTypeError`."""
-    read_all = whole_numbers(maximum)
-    return lambda text: read_all(text)[0]
+def integer(maximum: int) -> Callable[[str], int]:
+    """Return a parser of the first integer in such a list; it raises `ArgumentTypeError`."""
+    parse_list = integer_list(maximum)
+    return lambda text: parse_list(text)[0]
 
 
 def number(minimum: float, maximum: float) -> Callable[[str], float]:
-    """A reader of a number within limits; it raises `ArgumentTypeError`."""
+    """Return a parser of a number from `minimum` to `maximum`; it raises `ArgumentTypeError`."""
 
-    def read(text: str) -> float:
+    def parse(text: str) -> float:
         try:
             value = float(text)
         except ValueError:
-            raise argparse.ArgumentTypeError(f"{text!r:.60} is no number") from None
+            raise argparse.ArgumentTypeError(f"must be a number, is {text!r:.60}") from None
         if not minimum <= value <= maximum:
-            raise argparse.ArgumentTypeError(f"{text!r:.60} is not from {minimum:g} to {maximum:g}")
+            raise argparse.ArgumentTypeError(f"must be from {minimum:g} to {maximum:g}, is {text!r:.60}")
         return value
 
-    return read
+    return parse
 
 
 def server_states(text: str) -> list[ServerState]:
-    """States of servers with commas between them; raises `ArgumentTypeError`."""
+    """Parse comma-separated states of servers; raises `ArgumentTypeError`."""
     try:
         return [ServerState(part) for part in text.split(",")]
     except ValueError as problem:
-        raise argparse.ArgumentTypeError(f"{problem}; known are {STATE_NAMES}") from None
+        raise argparse.ArgumentTypeError(f"{problem}; the known states are {STATE_NAMES}") from None
 
 
 def checkout(text: str) -> Path:
-    """A folder that holds the program; raises `ArgumentTypeError`."""
+    """Parse the path of a checkout of the program; raises `ArgumentTypeError`."""
     path = Path(text).resolve()
     try:
         module = node_module(path)
     except CheckoutError as problem:
         raise argparse.ArgumentTypeError(f"{text!r:.200}: {problem}") from None
     if not (path / module.partition(".")[0]).is_dir():
-        raise argparse.ArgumentTypeError(f"{text!r:.200} holds no program")
+        raise argparse.ArgumentTypeError(f"{text!r:.200} has no package of the node's module {module}")
     return path
 
 
 def parse_arguments(arguments: list[str]) -> argparse.Namespace:
-    """Read the command line; ends the process with status 2 where it can't be used."""
-    parser = argparse.ArgumentParser(prog="bench", description="What a call costs, by the number of servers.")
+    """Parse the command line; exits with status 2 if it is invalid."""
+    parser = argparse.ArgumentParser(
+        prog="bench", description="Measure the cost of a call, by the number of servers."
+    )
     commands = parser.add_subparsers(dest="command", required=True)
     _add_decisions(commands.add_parser("decisions", help="the decision module alone, in simulated time"))
-    _add_calls(commands.add_parser("calls", help="a real node between a client and servers, on loopback"))
+    _add_calls(
+        commands.add_parser("calls", help="a real node between a client and simulated servers, on loopback")
+    )
     return parser.parse_args(arguments)
 
 
 def _add_decisions(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--servers", type=whole_numbers(MAX_SERVERS), default=list(SERVER_COUNTS))
-    parser.add_argument("--copies", type=whole_numbers(MAX_REPLICAS), default=list(REPLICA_COUNTS))
+    parser.add_argument("--servers", type=integer_list(MAX_SERVERS), default=list(SERVER_COUNTS))
+    parser.add_argument("--copies", type=integer_list(MAX_REPLICAS), default=list(REPLICA_COUNTS))
     parser.add_argument(
-        "--states", type=server_states, default=list(ServerState), help="with commas: " + STATE_NAMES
+        "--states", type=server_states, default=list(ServerState), help="comma-separated: " + STATE_NAMES
     )
-    parser.add_argument("--calls", type=whole_number(MAX_CALLS), default=1500)
+    parser.add_argument("--calls", type=integer(MAX_CALLS), default=1500)
     parser.add_argument("--root", type=checkout, default=ROOT, help="the checkout that is measured")
 
 
 def _add_calls(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--servers", type=whole_numbers(MAX_SERVERS), default=list(CALLS_SERVER_COUNTS))
-    parser.add_argument("--rate", type=number(1.0, MAX_RATE_PER_S), default=160.0, help="a second")
+    parser.add_argument("--servers", type=integer_list(MAX_SERVERS), default=list(CALLS_SERVER_COUNTS))
+    parser.add_argument("--rate", type=number(1.0, MAX_RATE_PER_S), default=160.0, help="calls per second")
     parser.add_argument("--seconds", type=number(1.0, MAX_SECONDS), default=10.0)
-    parser.add_argument("--rounds", type=whole_number(MAX_ROUNDS), default=1, help="sizes in turn, so often")
+    parser.add_argument("--rounds", type=integer(MAX_ROUNDS), default=1, help="repeats of all server counts")
     parser.add_argument("--root", type=checkout, default=ROOT, help="the checkout that is measured")
--- a/bench/calls.py
+++ b/bench/calls.py
@@ -1,7 +1,7 @@
 """Measures a real node between a client and servers, all on loopback.
 
-Client, servers and discovery are stand-ins in this process. What the node adds to a call is taken against the
-time that the servers work.
+The client, the servers and the discovery agent run in this process. The latency that the node adds is the
+duration of a call less the service time of the server.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from bench.fleet import SERVICE_TIME_S, DiscoveryAgent, SharedServer
 from bench.node_process import (
     FleetError,
+    cpu_time_s,
     peak_memory_mb,
-    processor_time_s,
     running_node,
     wait_until_ready,
 )
@@ -28,10 +28,10 @@
 __all__ = ["Figures", "Fleet", "FleetError", "measure"]
 
 DEADLINE_MS = 1000.0
-WARM_UP_S = 2.0
-MAX_FAILED_FRACTION = 0.01  # of the calls; more, and the figures mean nothing
-MAX_MEDIAN_LATE_S = 0.02  # by which this process may be late
-DESCRIPTORS = 2048  # of the node
+WARM_UP_S = 2.0  # calls before the measurement
+MAX_FAILED_FRACTION = 0.01  # of the calls; the figures are invalid if more fail
+MAX_MEDIAN_DELAY_S = 0.02  # of the client's sends; the figures are invalid if it is longer
+DESCRIPTORS = 2048  # limit of the node
 BYTES_PER_KB = 1024.0
 CLASSES = [
     {
@@ -53,34 +53,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """What is measured."""
+    """The parameters of a measurement."""
 
     servers: int
-    rate_per_s: float  # of calls
+    rate_per_s: float  # calls per second
     seconds: float
-    root: Path  # of the checkout whose node runs
+    root: Path  # checkout whose node is measured
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What a run gave; the names are the keys of its JSON line."""
+    """The results of a run; the field names are the keys of its JSON line."""
 
     servers: int
     calls: int
     failed: int
-    cpu_us_a_call: float  # processor time of the node, at rest too
-    added_p50_ms: float  # over the time that the servers work
+    cpu_us_a_call: float  # processor time of the node per call, including its idle work
+    added_p50_ms: float  # duration of a call less the service time of the server
     added_p99_ms: float
     peak_mb: float
-    list_kb: float  # of lists from discovery
-    worst_late_ms: float  # of this process, for a call
+    list_kb: float  # endpoint lists sent by discovery
+    worst_late_ms: float  # longest delay of the client in sending a call
 
 
 @dataclass(frozen=True, slots=True)
 class NodeUsage:
-    """What the node has used over a run."""
+    """The resources that the node used during a run."""
 
-    processor_s: float
+    cpu_s: float
     peak_mb: float
 
 
@@ -89,7 +89,7 @@
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
-        FleetError: The run gave no figure.
+        FleetError: The run gave no valid figures.
     """
     with tempfile.TemporaryDirectory(prefix="bench-") as folder:
         return uvloop.run(_measure(fleet, Path(folder)))
@@ -107,9 +107,9 @@
     async with running_node(fleet.root, config) as node:
         await wait_until_ready(port, node)
         await SteadyClient(port, DEADLINE_MS / 1000.0).run(fleet.rate_per_s, WARM_UP_S)
-        before_s = processor_time_s(node.pid)
+        before_s = cpu_time_s(node.pid)
         await client.run(fleet.rate_per_s, fleet.seconds)
-        usage = NodeUsage(processor_time_s(node.pid) - before_s, peak_memory_mb(node.pid))
+        usage = NodeUsage(cpu_time_s(node.pid) - before_s, peak_memory_mb(node.pid))
     return _figures(fleet, client, usage, agent.list_bytes)
 
 
@@ -125,19 +125,19 @@
 
 
 def _figures(fleet: Fleet, client: SteadyClient, usage: NodeUsage, list_bytes: int) -> Figures:
-    """The figures of a run; raises `FleetError` where they mean nothing."""
+    """Calculate the figures of a run; raises `FleetError` if they are invalid."""
     calls = len(client.elapsed_s)
     late_s = sorted(client.late_s)
     if client.failed > MAX_FAILED_FRACTION * calls:
-        raise FleetError(f"{client.failed} of {calls} calls failed: no figure")
-    if late_s[len(late_s) // 2] > MAX_MEDIAN_LATE_S:
-        raise FleetError("the bench itself ran late: no figure")
+        raise FleetError(f"{client.failed} of {calls} calls failed: the figures are invalid")
+    if late_s[len(late_s) // 2] > MAX_MEDIAN_DELAY_S:
+        raise FleetError("the client sent its calls too late: the figures are invalid")
     added_ms = sorted((elapsed_s - SERVICE_TIME_S) * 1000.0 for elapsed_s in client.elapsed_s)
     return Figures(
         servers=fleet.servers,
         calls=calls,
         failed=client.failed,
-        cpu_us_a_call=usage.processor_s / calls * 1e6,
+        cpu_us_a_call=usage.cpu_s / calls * 1e6,
         added_p50_ms=added_ms[calls // 2],
         added_p99_ms=added_ms[int(0.99 * calls)],
         peak_mb=usage.peak_mb,
--- a/bench/client.py
+++ b/bench/client.py
@@ -10,19 +10,19 @@
 
 
 class SteadyClient:
-    """Sends requests at a steady rate, whatever becomes of earlier ones."""
+    """Sends requests at a steady rate, without waiting for earlier responses."""
 
     def __init__(self, port: int, budget_s: float) -> None:
-        """`budget_s` is the time that each request states for its response."""
+        """`budget_s` is the X-Budget of each request."""
         self._port = port
         self._budget_s = budget_s
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        self.elapsed_s: list[float] = []  # of each request
-        self.late_s: list[float] = []  # by which each request was sent after its time
+        self.elapsed_s: list[float] = []  # duration of each request
+        self.late_s: list[float] = []  # delay of each request after its scheduled time
         self.failed = 0
 
     async def send(self, number: int) -> None:
-        """Send one request and read its response; one without a 200 counts as failed."""
+        """Send one request and read its response; the request counts as failed without a 200."""
         began_s = time.perf_counter()
         try:
             connection = self._idle.pop() if self._idle else await asyncio.open_connection(HOST, self._port)
@@ -38,7 +38,7 @@
         self.elapsed_s.append(time.perf_counter() - began_s)
 
     async def run(self, rate_per_s: float, seconds: float) -> None:
-        """Send requests for so long, and wait for their responses."""
+        """Send requests for `seconds` seconds and wait for all responses."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         requests = []
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,8 +1,8 @@
-"""Times the decision module alone, by the size of the list and the state of the servers in it.
+"""Times the decision module alone, by the size of the endpoint list and the state of the servers.
 
-The clock that the module sees is simulated: requests come at a steady rate, servers answer after a fixed
-time. What is timed is `Balancer.handle`. The module comes from the first entry of `sys.path` that holds it:
-another checkout can be measured.
+The module's clock is simulated: requests arrive at a steady rate and servers answer after a fixed time. Only
+the calls of `Balancer.handle` are timed. The module is imported from the first entry of `sys.path` that has
+it, so that another checkout can be measured.
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
 CONNECT_FAILED_AFTER_MS = 0.1
 OBJECTIVE_MS = 100.0
 DEADLINE_MS = 400.0
-RAMP_MS = 600_000.0  # so long that a server which starts in a run stays cold
+RAMP_MS = 600_000.0  # long enough that a started server stays cold for the whole run
 BEGIN_MS = 1000.0
 SERVERS_STARTED_AT_MS = 900.0
 UPDATES = 20
 COMPLETE_LISTS = 5
 NS_PER_US = 1000.0
-QUEUE_LENGTHS = (0, 0, 0, 1, 2)  # what servers that report a queue say, drawn evenly
+QUEUE_LENGTHS = (0, 0, 0, 1, 2)  # reported queue lengths, drawn with equal probability
 ZONES = 5
 GROUPS = 7
-HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads server ids as hashes of names are spread
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # distributes server ids like hashes of names
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One run: servers in a list, replicas that send to them, their state, and requests to time."""
+    """One run: the numbers of servers and replicas, the state of the servers, and the requests to time."""
 
     servers: int
     replicas: int
@@ -59,16 +59,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Microseconds of processor time, the mean of a run."""
+    """Mean times of a run in microseconds."""
 
-    request_us: float  # of a request, with the pick of its server
-    outcome_us: float  # of an attempt's outcome
-    update_us: float  # of a change to one entry of the list
-    complete_list_us: float  # of a complete list with nothing new
+    request_us: float  # a request, including the selection of its server
+    outcome_us: float  # the outcome of an attempt
+    update_us: float  # a list update with one entry
+    complete_list_us: float  # a complete list without changes
 
 
 class Phase(Enum):
-    """What an event handled is to the request that it belongs to."""
+    """The phase of a request that an event belongs to."""
 
     REQUEST = "request"
     OUTCOME = "outcome"
@@ -77,18 +77,18 @@
 
 @dataclass(slots=True)
 class Stopwatch:
-    """Time spent in one phase."""
+    """The total time and number of the events of one phase."""
 
     spent_ns: int = 0
     count: int = 0
 
     def add(self, elapsed_ns: int) -> None:
-        """Add one event."""
+        """Add the time of one event."""
         self.spent_ns += elapsed_ns
         self.count += 1
 
     def mean_us(self) -> float:
-        """The mean of an event, 0 without events."""
+        """Return the mean time of an event, or 0 without events."""
         return self.spent_ns / max(1, self.count) / NS_PER_US
 
 
@@ -103,17 +103,19 @@
         self._rng = random.Random(case.seed)
         self._balancer = Balancer(_settings(case), case.seed)
         self._now_ms = BEGIN_MS
-        self._due: list[tuple[float, int, DueEvent]] = []  # events by time, then by order
+        self._due: list[
+            tuple[float, int, DueEvent]
+        ] = []  # heap of events by time, then by order of scheduling
         self._events_scheduled = 0
         self._requests = 0
-        self._attempts: dict[str, int] = {}  # made so far, by request
+        self._attempts: dict[str, int] = {}  # attempts made so far, by request
         self._stopwatches = _stopwatches()
         self._server_numbers = {self._endpoint(n).server_id: n for n in range(case.servers)}
         self._balancer.handle(NodeStarted(), self._now_ms)
         self._balancer.handle(self._update(UpdateKind.COMPLETE, range(case.servers)), self._now_ms)
 
     def cost(self) -> Cost:
-        """Play the case; half as many requests come before and are not timed."""
+        """Play the case and return its cost; first, half as many requests are played as a warm-up."""
         for _ in range(self._case.calls // 2):
             self._play_request()
         self._stopwatches = _stopwatches()
@@ -134,7 +136,7 @@
         self._handle(Phase.REQUEST, RequestReceived(f"r{self._requests}", "read", DEADLINE_MS))
 
     def _advance(self, until_ms: float) -> None:
-        """Handle what falls due up to a moment."""
+        """Handle the events that are due up to a time."""
         while self._due and self._due[0][0] <= until_ms:
             self._now_ms, _, event = heapq.heappop(self._due)
             phase = Phase.TIMER if isinstance(event, TimerFired) else Phase.OUTCOME
@@ -142,7 +144,7 @@
         self._now_ms = until_ms
 
     def _handle(self, phase: Phase, event: RequestReceived | DueEvent) -> None:
-        """Time the balancer on an event, then carry out its actions."""
+        """Time the handling of an event, then perform the returned actions."""
         began_ns = time.perf_counter_ns()
         actions = self._balancer.handle(event, self._now_ms)
         self._stopwatches[phase].add(time.perf_counter_ns() - began_ns)
@@ -163,7 +165,7 @@
         self._schedule(after_ms, event)
 
     def _outcome(self, send: SendAttempt) -> tuple[Outcome, float]:
-        """How an attempt will end, and after how many milliseconds."""
+        """Return how an attempt will end, and after how many milliseconds."""
         number = self._server_numbers[send.server_id]
         if self._case.state is ServerState.EJECTED and number % 3 == 0:
             return Outcome.CONNECT_FAILED, CONNECT_FAILED_AFTER_MS
@@ -176,14 +178,14 @@
         heapq.heappush(self._due, (self._now_ms + after_ms, self._events_scheduled, event))
 
     def _time_updates(self) -> float:
-        """Microseconds for a change to one entry."""
+        """Return the mean microseconds for an update with one entry."""
         stopwatch = Stopwatch()
         for number in range(UPDATES):
             self._time_list(stopwatch, UpdateKind.INCREMENTAL, [number % self._case.servers])
         return stopwatch.mean_us()
 
     def _time_complete_lists(self) -> float:
-        """Microseconds for a complete list."""
+        """Return the mean microseconds for a complete list."""
         stopwatch = Stopwatch()
         for _ in range(COMPLETE_LISTS):
             self._time_list(stopwatch, UpdateKind.COMPLETE, range(self._case.servers))
@@ -199,7 +201,7 @@
         return EndpointUpdate(kind, 1, [self._endpoint(number) for number in numbers])
 
     def _endpoint(self, number: int) -> Endpoint:
-        """The list's entry of a server, by the state that the case is about."""
+        """Build a server's entry, according to the state of the case."""
         state = self._case.state
         is_odd = number % 2 == 1
         is_draining = state is ServerState.DRAINING and is_odd
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the servers and the discovery agent of a measured node.
+"""The servers and the discovery agent of a measured node.
 
-All servers share one listening socket: the node knows them by their names.
+All servers share one listening socket; to the node they are different servers because their names differ.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from standins.listener import Listener
 from standins.messages import read_head, render_response
 
-SERVICE_TIME_S = 0.010  # of a server, for one request
+SERVICE_TIME_S = 0.010
 ZONES = 5
 GROUPS = 7
 OK_RESPONSE = render_response(200, b"ok", reason="OK")
 
 
 class SharedServer(Listener):
-    """Answers each request, none of which has a body, after the service time."""
+    """Answers each request after the service time; the requests have no body."""
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer until the node ends the connection."""
+        """Answer requests until the node ends the connection."""
         while True:
             await read_head(reader)
             await asyncio.sleep(SERVICE_TIME_S)
@@ -29,7 +29,7 @@
 
 
 class DiscoveryAgent(Listener):
-    """Gives the same complete list at each call, and no update to each watch once its wait is over."""
+    """Sends the same complete list on each request, and an empty update to each watch after its wait."""
 
     def __init__(self, servers: int, server_address: str) -> None:
         super().__init__()
@@ -45,10 +45,10 @@
         ]
         self._complete_list = render_endpoint_list(1, endpoints, complete=True)
         self._empty_update = render_endpoint_list(1, [], complete=False)
-        self.list_bytes = 0  # written so far
+        self.list_bytes = 0  # bytes of list bodies sent so far
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer until the node ends the connection."""
+        """Answer requests until the node ends the connection."""
         while True:
             wait_ms = _wait_ms(await read_head(reader))
             if wait_ms is not None:
@@ -59,6 +59,6 @@
 
 
 def _wait_ms(head: bytes) -> int | None:
-    """How long a watch wants to wait; None for a call that asks for the complete list."""
+    """Return the wait time of a watch; None for a call for the complete list."""
     values = head.partition(b"wait=")[2].split()
     return int(values[0]) if values else None
--- a/bench/node_process.py
+++ b/bench/node_process.py
@@ -1,4 +1,4 @@
-"""The node that is measured: its process, its readiness, and what the kernel says that it has used."""
+"""Runs the measured node as a process and reads its resource usage from the kernel."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class FleetError(Exception):
-    """A run that gives no figure; the text says in one line why."""
+    """Raised for a run without valid figures; the message gives the reason in one line."""
 
 
 @contextlib.asynccontextmanager
 async def running_node(root: Path, config: Path) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The node of a checkout with a configuration file, while the block runs.
+    """Run the node of the checkout at `root` within a `with` block.
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
@@ -44,7 +44,7 @@
 
 
 async def _stop(process: asyncio.subprocess.Process) -> None:
-    with contextlib.suppress(ProcessLookupError):  # it has ended by itself
+    with contextlib.suppress(ProcessLookupError):  # the process has already ended
         process.terminate()
     try:
         await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
@@ -54,10 +54,10 @@
 
 
 async def wait_until_ready(port: int, process: asyncio.subprocess.Process) -> None:
-    """Return once the node says that it is ready.
+    """Wait until the node is ready.
 
     Raises:
-        FleetError: The process has ended, or was not ready in time.
+        FleetError: The process ended, or was not ready in time.
     """
     deadline_s = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline_s:
@@ -69,13 +69,13 @@
     raise FleetError(f"the node was not ready within {READY_TIMEOUT_S:.0f} s")
 
 
-def processor_time_s(pid: int) -> float:
-    """The processor time that a process has used."""
+def cpu_time_s(pid: int) -> float:
+    """Return the processor time that a process has used, in user and kernel mode."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def peak_memory_mb(pid: int) -> float:
-    """The most memory that a process has held."""
+    """Return the peak resident memory of a process."""
     status = Path(f"/proc/{pid}/status").read_text()
     return int(status.partition("VmHWM:")[2].split()[0]) / KB_PER_MB
--- a/bench/server_state.py
+++ b/bench/server_state.py
@@ -1,4 +1,4 @@
-"""What the servers of a run of `decisions` are like."""
+"""The states of the servers that `decisions` measures."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class ServerState(Enum):
-    """One state of the servers of a run."""
+    """The state of the servers in a run."""
 
     WARM = "warm"
-    HALF_COLD = "half-cold"  # every second one has just started
-    EJECTED = "ejected"  # a third can't be reached
-    DRAINING = "draining"  # half are
-    ZONE_GONE = "zone-gone"  # those of one zone of five are silent
-    QUEUES = "queues"  # all report a queue now and then
-    WEIGHTED = "weighted"  # each has a weight of its own
+    HALF_COLD = "half-cold"  # every second server has just started
+    EJECTED = "ejected"  # every third server can't be reached
+    DRAINING = "draining"  # every second server is draining
+    ZONE_GONE = "zone-gone"  # the servers of one of the five zones do not answer
+    QUEUES = "queues"  # all servers report queue lengths, some of them above 0
+    WEIGHTED = "weighted"  # the servers have different weights
