--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that are broken on purpose, so that the soak's oracle is known to see it."""
+"""Nodes with a deliberate fault each, which test that the soak's oracle detects violations."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Patch:
-    """A piece of the program's text and what takes its place."""
+    """A piece of a source file and its replacement; `old` must occur exactly once in the file."""
 
     file: str
     old: str
@@ -24,23 +24,25 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenNode:
-    """A fault put into the program, the faults that bring it out, and the rule that it breaks."""
+    """A faulty version of the program, the soak faults that expose it, and the rule that it breaks."""
 
     name: str
     rule: Rule
-    kinds: tuple[FaultKind, ...]
+    fault_kinds: tuple[FaultKind, ...]
     patches: tuple[Patch, ...]
-    rate: float = FAULTS_PER_S  # of the schedule, in faults a second
+    faults_per_s: float = FAULTS_PER_S
 
     def write(self, folder: Path) -> None:
-        """Write the broken program into a folder."""
+        """Copy the program into `folder` and apply the patches."""
         for package in PACKAGES:
             shutil.copytree(ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__"))
         for patch in self.patches:
             path = folder / patch.file
             text = path.read_text(encoding="utf-8")
             count = text.count(patch.old)
-            assert count == 1, f"{self.name}: {patch.old!r} is in {patch.file} {count} times"
+            assert count == 1, (
+                f"{self.name}: {patch.old!r} must be in {patch.file} once, is there {count} times"
+            )
             path.write_text(text.replace(patch.old, patch.new), encoding="utf-8")
 
 
@@ -66,7 +68,7 @@
 
 BROKEN_NODES = (
     BrokenNode(
-        "clients that have disconnected are not noticed",
+        "client disconnects are ignored",
         Rule.DISCONNECTED,
         (FaultKind.CALLERS_LEAVE, FaultKind.SERVER_ERRORS),
         (
@@ -77,7 +79,7 @@
                 "if True:\n            return False",
             ),
         ),
-        rate=5.0,  # clients that leave have to meet failures, and their requests' retries
+        faults_per_s=5.0,  # many, so that clients disconnect while failed requests are retried
     ),
     BrokenNode(
         "drains are ignored",
@@ -86,19 +88,19 @@
         (Patch(ENDPOINT_LIST, '"leaving": EndpointState.DRAINING', '"leaving": EndpointState.IN_SERVICE'),),
     ),
     BrokenNode(
-        "a non-idempotent request is sent again",
+        "a non-idempotent request is retried",
         Rule.DUPLICATE,
         (FaultKind.PROXY_RESET, FaultKind.SERVER_ERRORS),
         (RETRIES_ANYTHING, Patch(SEND_GUARD, "if history.may_have_run and", "if False and")),
     ),
     BrokenNode(
-        "a non-idempotent request is sent again, and the node's own guard blocks it",
+        "a non-idempotent request is retried, and the send guard blocks it",
         Rule.INVARIANT,
         (FaultKind.PROXY_RESET, FaultKind.SERVER_ERRORS),
         (RETRIES_ANYTHING,),
     ),
     BrokenNode(
-        "the deadline is passed on as it came",
+        "the client's budget is passed on unchanged",
         Rule.DEADLINE,
         (FaultKind.PROXY_HOLD, FaultKind.SERVER_ERRORS),
         (
@@ -110,7 +112,7 @@
         ),
     ),
     BrokenNode(
-        "servers that warm up get all that there is, whatever they have in flight",
+        "servers in slow start get requests without limit",
         Rule.SLOW_START,
         (FaultKind.SERVER_RESTART,),
         (
@@ -138,13 +140,13 @@
         ),
     ),
     BrokenNode(
-        "a graceful shutdown closes connections over requests",
+        "a graceful shutdown closes connections with requests in flight",
         Rule.LOST,
         (FaultKind.NODE_STOP,),
         (Patch(SHUTDOWN, "self._frontend.fail_ready_checks()\n", "self._frontend.abort()\n"),),
     ),
     BrokenNode(
-        "incremental updates are not taken",
+        "incremental updates are ignored",
         Rule.DRAIN,
         (FaultKind.SERVER_DRAIN,),
         (
@@ -174,7 +176,7 @@
         ),
     ),
     BrokenNode(
-        "a reset ends a response with no length",
+        "a response without a length is complete after a reset",
         Rule.LOST,
         (FaultKind.SERVER_NO_LENGTH,),
         (
@@ -187,13 +189,13 @@
         ),
     ),
     BrokenNode(
-        "attempts are aborted and left open",
+        "connections of aborted attempts are left open",
         Rule.DUPLICATE,
         (FaultKind.PROXY_HOLD, FaultKind.SERVER_HANG),
         (Patch(SERVER_CONNECTION, "        attempt.carrier = self\n", ""),),
     ),
     BrokenNode(
-        "failures are not answered",
+        "failed requests are not answered",
         Rule.LOST,
         (FaultKind.SERVER_ERRORS,),
         (
@@ -205,7 +207,7 @@
         ),
     ),
     BrokenNode(
-        "half a request is waited for without end",
+        "the timeout of an incomplete request is too long",
         Rule.PEER,
         (FaultKind.CALLERS_HALF,),
         (
@@ -217,7 +219,7 @@
         ),
     ),
     BrokenNode(
-        "the process ends at a reload",
+        "a reload ends the process",
         Rule.CRASH,
         (FaultKind.NODE_RELOAD,),
         (
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,16 +9,16 @@
 
 
 @pytest.fixture(autouse=True)
-def connections_reusable_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a connection be used again without delay; tests of the delay set it themselves.
+def no_connection_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Remove the delay before a connection is reused; tests of the delay set it themselves.
 
-    Which connection a request gets would depend on how fast the test runs otherwise.
+    With the delay, the connection that a request gets would depend on the speed of the test.
     """
     monkeypatch.setattr(server_connection, "REUSE_DELAY_MS", 0.0)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect exactly the tests that KNOWN-RED.txt lists to fail; one of them that passes is an error."""
+    """Mark the tests listed in KNOWN-RED.txt as expected failures; it is an error if one of them passes."""
     try:
         listed = {failure.test: failure for failure in load_known_failures()}
     except KnownRedError as problem:
@@ -29,6 +29,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the tests that are expected to fail, so that no run hides them."""
+    """Print the tests that are expected to fail, so that every run shows them."""
     for failure in load_known_failures():
         terminalreporter.write_line(f"KNOWN-RED: {failure.test}: {failure.cause}")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a fault which is known and not yet mended, as KNOWN-RED.txt lists them.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault.
 
-A listed test still runs. It is expected to fail: its success fails the run, so that its line is removed once
-the fault has been mended. Each line is `test id: cause, issue N`.
+A listed test still runs and is expected to fail. If it passes, the run fails, so that its line is removed
+once the fault is fixed. Each line has the form `test id: cause, issue N`.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class KnownRedError(Exception):
-    """A list of known failures that can't be used; the text says in one line why."""
+    """Raised if KNOWN-RED.txt is invalid; the message gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """One line of the list: a test's id, and why it fails."""
+    """One line of the list: the id of a test and the cause of its failure."""
 
     test: str
     cause: str
 
 
-def read_known_failures(text: str) -> list[KnownFailure]:
-    """Read the list; blank lines and lines that begin with `#` are skipped.
+def parse_known_failures(text: str) -> list[KnownFailure]:
+    """Parse the list; blank lines and lines that begin with `#` are skipped.
 
     Raises:
-        KnownRedError: A line has no cause or no issue, or too many tests are listed.
+        KnownRedError: A line has no cause or no issue, or more than `MAX_LISTED` tests are listed.
     """
     failures = []
     for line in text.splitlines():
@@ -37,13 +37,13 @@
             continue
         test, separator, cause = line.partition(": ")
         if not separator or "issue" not in cause:
-            raise KnownRedError(f"KNOWN-RED.txt: not of the form 'test id: cause, issue N': {line:.80}")
+            raise KnownRedError(f"KNOWN-RED.txt: a line must be 'test id: cause, issue N', is {line!r:.80}")
         failures.append(KnownFailure(test.strip(), cause.strip()))
     if len(failures) > MAX_LISTED:
-        raise KnownRedError(f"KNOWN-RED.txt lists {len(failures)} tests; {MAX_LISTED} at most may fail")
+        raise KnownRedError(f"KNOWN-RED.txt must list at most {MAX_LISTED} tests, lists {len(failures)}")
     return failures
 
 
 def load_known_failures() -> list[KnownFailure]:
-    """Read the repository's list; it is empty without the file. Raises as `read_known_failures` does."""
-    return read_known_failures(PATH.read_text(encoding="utf-8")) if PATH.exists() else []
+    """Load the repository's list, or an empty list without the file; raises `KnownRedError`."""
+    return parse_known_failures(PATH.read_text(encoding="utf-8")) if PATH.exists() else []
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench: bad arguments are reported, and its figures come from calls that succeeded."""
+"""Tests of the bench: it reports bad arguments, and its figures come from successful calls."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def bench(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "bench", *arguments],
-        check=False,  # the exit status is what tests look at
+        check=False,  # tests check the exit status
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -40,34 +40,34 @@
         ("calls", "--rounds", "21"),
     ],
 )
-def test_bad_arguments_are_told_and_status_2(arguments: tuple[str, ...]) -> None:
-    done = bench(*arguments)
-    assert done.returncode == 2 and not done.stdout
-    assert done.stderr.splitlines()[-1].startswith("bench")
+def test_bad_arguments_exit_with_status_2_and_an_error(arguments: tuple[str, ...]) -> None:
+    result = bench(*arguments)
+    assert result.returncode == 2 and not result.stdout
+    assert result.stderr.splitlines()[-1].startswith("bench")
 
 
-def test_decisions_gives_one_line_a_case() -> None:
-    done = bench(
+def test_decisions_prints_one_line_per_case() -> None:
+    result = bench(
         "decisions", "--servers", "5,50", "--copies", "1,4", "--states", "warm,half-cold", "--calls", "20"
     )
-    lines = [json.loads(line) for line in done.stdout.splitlines()]
-    assert done.returncode == 0 and len(lines) == 8
+    lines = [json.loads(line) for line in result.stdout.splitlines()]
+    assert result.returncode == 0 and len(lines) == 8
     assert all(line["request_us"] > 0.0 and line["whole_list_us"] > 0.0 for line in lines)
 
 
 @pytest.mark.parametrize("state", ServerState)
-def test_a_run_of_each_state_has_answers(state: ServerState) -> None:
+def test_a_run_in_each_server_state_gives_positive_costs(state: ServerState) -> None:
     cost = Run(Case(40, 2, state, 60)).cost()
     assert min(cost.request_us, cost.outcome_us, cost.update_us, cost.complete_list_us) > 0.0
 
 
-def test_calls_measures_a_node() -> None:
+def test_calls_measures_a_real_node() -> None:
     figures = measure(Fleet(20, 40.0, 1.0, ROOT))
     assert figures.calls == 40 and figures.failed == 0
     assert figures.cpu_us_a_call > 0.0 and figures.peak_mb > 5.0
 
 
-def test_a_node_that_does_not_start_gives_no_figure(tmp_path: Path) -> None:
+def test_a_node_that_does_not_start_raises(tmp_path: Path) -> None:
     with pytest.raises(FleetError, match="ended with status"):
         measure(Fleet(20, 40.0, 1.0, tmp_path))
 
@@ -77,22 +77,22 @@
     (root / "deploy" / "balancer.toml").write_text(text)
 
 
-def test_the_module_of_a_node_comes_from_the_deploy_file(tmp_path: Path) -> None:
+def test_the_module_of_a_node_is_read_from_the_deploy_file(tmp_path: Path) -> None:
     assert node_module(tmp_path) == "workspond"
     write_deploy_file(tmp_path, 'run = "exec .venv/bin/python -B -m other.module --flag"\n')
     assert node_module(tmp_path) == "other.module"
 
 
 @pytest.mark.parametrize("text", ["", 'run = "exec python"\n', "run = ", "\x00"])
-def test_a_deploy_file_that_names_no_module_is_refused(text: str, tmp_path: Path) -> None:
+def test_a_deploy_file_without_a_module_raises(text: str, tmp_path: Path) -> None:
     write_deploy_file(tmp_path, text)
     with pytest.raises(CheckoutError):
         node_module(tmp_path)
 
 
-def test_decisions_refuses_a_checkout_of_an_older_layout_in_one_line(tmp_path: Path) -> None:
+def test_decisions_with_a_checkout_of_an_older_layout_exits_with_a_one_line_error(tmp_path: Path) -> None:
     write_deploy_file(tmp_path, 'run = "exec .venv/bin/python -B -m older"\n')
     (tmp_path / "older").mkdir()
-    done = bench("decisions", "--root", str(tmp_path))
-    assert done.returncode == 2 and not done.stdout
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("bench: ")
+    result = bench("decisions", "--root", str(tmp_path))
+    assert result.returncode == 2 and not result.stdout
+    assert len(result.stderr.splitlines()) == 1 and result.stderr.startswith("bench: ")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its oracle finds nodes that are broken on purpose, and its parts do what they say."""
+"""Tests of the soak: its oracle detects deliberately broken nodes, and its parts work."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from soak.shrink import shrink
 from tests.broken_nodes import BROKEN_NODES, ROOT, BrokenNode
 
-SEEDS = (1, 2, 3, 4, 5)  # within which each broken node has to be found
-SECONDS, NODES, AT_A_TIME = 8, 4, 4
-QUICK = ROOT / "soak" / "quick.json"
+SEEDS = (1, 2, 3, 4, 5)  # each broken node must be detected with at least one of them
+SECONDS, NODES, CONCURRENT_RUNS = 8, 4, 4
+QUICK_SCHEDULE = ROOT / "soak" / "quick.json"
 
 
 def soak(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "soak", *arguments],
-        check=False,  # the exit status is what tests look at
+        check=False,  # tests check the exit status
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -34,12 +34,12 @@
     )
 
 
-def seed_that_finds(broken: BrokenNode, folder: Path) -> int | None:
-    """The first seed under which the soak sees the broken rule."""
+def find_detecting_seed(broken: BrokenNode, folder: Path) -> int | None:
+    """Return the first seed with which the soak detects the broken rule, or None."""
     broken.write(folder)
     for seed in SEEDS:
-        kinds = ",".join(kind.value for kind in broken.kinds)
-        done = soak(
+        kinds = ",".join(kind.value for kind in broken.fault_kinds)
+        result = soak(
             "--seed",
             str(seed),
             "--seconds",
@@ -49,35 +49,35 @@
             "--kinds",
             kinds,
             "--rate",
-            str(broken.rate),
+            str(broken.faults_per_s),
             "--root",
             str(folder),
         )
-        lines = [json.loads(line) for line in done.stdout.splitlines()]
+        lines = [json.loads(line) for line in result.stdout.splitlines()]
         if any(line.get("rule") == broken.rule.value for line in lines):
-            assert done.returncode == 1
+            assert result.returncode == 1
             return seed
     return None
 
 
-def test_each_broken_node_is_found_by_the_rule_that_it_breaks(tmp_path: Path) -> None:
-    with ThreadPoolExecutor(AT_A_TIME) as pool:
+def test_each_broken_node_is_detected_by_the_rule_that_it_breaks(tmp_path: Path) -> None:
+    with ThreadPoolExecutor(CONCURRENT_RUNS) as pool:
         folders = [tmp_path / f"{n}" for n in range(len(BROKEN_NODES))]
-        found = dict(
+        detecting_seeds = dict(
             zip(
                 (broken.name for broken in BROKEN_NODES),
-                pool.map(seed_that_finds, BROKEN_NODES, folders),
+                pool.map(find_detecting_seed, BROKEN_NODES, folders),
                 strict=True,
             )
         )
-    print(found)
-    assert all(found.values()), found
+    print(detecting_seeds)
+    assert all(detecting_seeds.values()), detecting_seeds
 
 
-def test_the_quick_schedule_passes() -> None:
-    done = soak("--schedule", str(QUICK))
-    assert done.returncode == 0, done.stdout[-2000:] + done.stderr[-2000:]
-    summary = json.loads(done.stdout.splitlines()[-1])
+def test_the_quick_schedule_gives_no_violation() -> None:
+    result = soak("--schedule", str(QUICK_SCHEDULE))
+    assert result.returncode == 0, result.stdout[-2000:] + result.stderr[-2000:]
+    summary = json.loads(result.stdout.splitlines()[-1])
     assert summary["violations"] == 0 and summary["answers"]["200"] > 1000
 
 
@@ -91,42 +91,42 @@
         ("--schedule", str(ROOT / "README.md")),
     ],
 )
-def test_bad_arguments_are_told_and_status_2(arguments: tuple[str, str]) -> None:
-    done = soak(*arguments)
-    assert done.returncode == 2 and not done.stdout
-    assert done.stderr.splitlines()[-1].startswith("soak: ")
+def test_bad_arguments_exit_with_status_2_and_an_error(arguments: tuple[str, str]) -> None:
+    result = soak(*arguments)
+    assert result.returncode == 2 and not result.stdout
+    assert result.stderr.splitlines()[-1].startswith("soak: ")
 
 
-def test_a_seed_draws_one_schedule_and_a_file_gives_it_back() -> None:
+def test_the_same_seed_draws_the_same_schedule_and_json_restores_it() -> None:
     drawn = [draw(7, 20.0, 6, 4, frozenset(FaultKind)) for _ in range(2)]
     assert drawn[0] == drawn[1] == read_schedule(drawn[0].to_json())
     assert drawn[0] != draw(8, 20.0, 6, 4, frozenset(FaultKind))
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"faults": [{"kind": "nonsense"}]}'])
-def test_what_is_no_schedule_is_refused(text: str) -> None:
+def test_text_that_is_not_a_schedule_raises(text: str) -> None:
     with pytest.raises(ScheduleError):
         read_schedule(text)
 
 
-def test_a_schedule_is_cut_to_the_faults_that_break_a_rule() -> None:
+def test_shrink_keeps_only_the_faults_that_break_a_rule() -> None:
     faults = tuple(Fault(FaultKind.NODE_PAUSE, float(n), 1.0, n) for n in range(16))
     schedule = Schedule(1, 20.0, 4, faults)
 
-    def breaks(candidate: Schedule) -> bool:
+    def breaks_rule(candidate: Schedule) -> bool:
         return {3, 11} <= {fault.target for fault in candidate.faults}
 
-    shortest, plays = shrink(schedule, breaks, 200)
-    assert [fault.target for fault in shortest.faults] == [3, 11]
+    smallest, plays = shrink(schedule, breaks_rule, 200)
+    assert [fault.target for fault in smallest.faults] == [3, 11]
     assert plays <= 200
 
 
-def test_a_node_that_ends_as_it_is_killed_is_no_crash(
+def test_a_process_that_ends_just_before_sigkill_is_not_a_crash(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process had just ended when its time was over, and the kill raised."""
+    """The process ends between the timeout and SIGKILL, so that `kill` raises ProcessLookupError."""
 
-    class Ending:
+    class ProcessEndingAtKill:
         returncode: int | None = None
 
         def __init__(self) -> None:
@@ -148,7 +148,7 @@
         monkeypatch.setattr("soak.node_process.KILL_AFTER_TERM_S", 0.05)
         oracle = Oracle(asyncio.get_running_loop().time, tuple, 50.0)
         node = NodeProcess(oracle, NodeView(0, ("127.0.0.1", 1)), [], Launch(1, tmp_path, tmp_path, None))
-        node._process = Ending()  # type: ignore[assignment]
+        node._process = ProcessEndingAtKill()  # type: ignore[assignment]
         await node.stop()
         assert not oracle.violations
 
--- a/tests/wire_simulation.py
+++ b/tests/wire_simulation.py
@@ -1,4 +1,4 @@
-"""A seeded closed loop for the simulator's wire: clients, servers and discovery around an adapter."""
+"""A seeded simulation of clients, servers and discovery that drives the simulator adapter over its wire."""
 
 from __future__ import annotations
 
@@ -13,170 +13,180 @@
 from tests.recorded_sessions import Session
 
 Json = dict[str, Any]
-Event = tuple[float, int, str, Callable[[], list[Json]]]  # when, in what order, whose, and what happens
-UNANSWERED, NOT_SENT = 0.98, 0.99  # of an attempt's luck: from where it is lost, and is not even sent
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, NEVER_SENT = 100, 301, 302, 303, 304, 305, 307
+Event = tuple[float, int, str, Callable[[], list[Json]]]  # time in ms, order, node, and function to run
+TIMEOUT_ABOVE, NOT_SENT_ABOVE = 0.98, 0.99  # an attempt with a higher random draw times out, or is not sent
+OK, ERROR, REJECTED, TIMEOUT, CONNECT_FAILED, RESET, NOT_SENT = 100, 301, 302, 303, 304, 305, 307
 
 
-def encoded(value: Json) -> str:
-    """A line of the wire."""
+def encode_line(value: Json) -> str:
+    """Encode a message as a line of the wire."""
     return json.dumps(value, separators=(",", ":")) + "\n"
 
 
 class ServerModel:
-    """A server of the simulated fleet: its list entry and how it behaves."""
+    """A simulated server: its list entry and its behaviour."""
 
     def __init__(self, entry: Json, behaviour: tuple[float, float, float, float]) -> None:
         self.entry = entry
-        self.down, self.error, self.reset, self.slow = behaviour
-        self.busy = 0
+        self.unreachable_fraction, self.error_fraction, self.reset_fraction, self.slowdown = behaviour
+        self.in_flight = 0
 
 
 class RequestModel:
-    """A client's request, as far as the simulation knows it."""
+    """A client's request and its state in the simulation."""
 
-    def __init__(self, node: str, ends_ms: float, stream: bool) -> None:
-        self.node, self.ends_ms, self.stream = node, ends_ms, stream
+    def __init__(self, node: str, deadline_ms: float, is_stream: bool) -> None:
+        self.node, self.deadline_ms, self.is_stream = node, deadline_ms, is_stream
         self.attempts = 0
         self.finished = False
 
 
 class Simulation:
-    """Clients, servers and discovery around the adapter; it is both the adapter's input and its output."""
+    """Simulates clients, servers and discovery; it is the adapter's input and output stream."""
 
     def __init__(self, session: Session) -> None:
         self.session, self.rng = session, random.Random(session.seed)
         self.lines: list[str] = []
-        self.now, self.round = 1000.0, 0
-        self.serial = itertools.count()
+        self.now_ms, self.round = 1000.0, 0
+        self.event_order = itertools.count()
         self.events: list[Event] = []  # a heap
         self.requests: dict[str, RequestModel] = {}
         self.nodes = [f"n{number}" for number in range(session.nodes)]
         self.subscribed: set[str] = set()
-        self.stamp, self.bank = 1, 0
-        self.servers = {entry["server"]: self.server(entry) for entry in session.entries(self.rng)}
+        self.list_version, self.page_number = 1, 0
+        self.servers = {entry["server"]: self.make_server(entry) for entry in session.entries(self.rng)}
         for node in self.nodes:
             self.schedule(0.0, "", partial(self.launch, node))
-            self.schedule(session.relaunch_after_ms, "", partial(self.relaunch, node))
+            self.schedule(session.relaunch_after_ms, "", partial(self.restart, node))
         for after_ms, node, cls in session.arrivals(self.rng, self.nodes):
             self.schedule(after_ms, "", partial(self.arrive, node, cls))
         for step in range(1, session.list_changes + 1):
             self.schedule(step * session.span_ms / (session.list_changes + 1), "", self.change_list)
 
-    # The adapter's side: a text source and a text sink
+    # The input and output streams of the adapter
 
     def readline(self) -> str:
-        """The next batch: all that is due at the next tick; none once all is over."""
+        """Return the next batch, with the events due at the next tick; empty at the end of the session."""
         self.events = [event for event in self.events if event[0] < self.session.ends_ms]
         heapq.heapify(self.events)
         if not self.events:
             return ""
-        self.now = max(self.now, self.session.next_tick(self.events[0][0]))
+        self.now_ms = max(self.now_ms, self.session.next_tick(self.events[0][0]))
         items: list[Json] = []
-        while self.events and self.events[0][0] <= self.now:
+        while self.events and self.events[0][0] <= self.now_ms:
             items.extend(heapq.heappop(self.events)[3]())
         self.round += 1
-        self.lines.append(encoded({"ts_ms": self.now, "round": self.round, "items": items}))
+        self.lines.append(encode_line({"ts_ms": self.now_ms, "round": self.round, "items": items}))
         return self.lines[-1]
 
     def write(self, text: str) -> None:
-        """A reply: note it and do what it says."""
+        """Record a reply of the adapter and perform its actions."""
         self.lines.append(text)
         for action in json.loads(text)["actions"]:
             match action["kind"]:
                 case "SubmitTo":
-                    self.submit(action)
+                    self.begin_attempt(action)
                 case "WakeAt":
                     fired = {"kind": "Fired", "node": action["node"], "nonce": action["nonce"]}
                     delay_ms = max(action["span_ms"], self.session.tick_ms)
                     self.schedule(delay_ms, action["node"], partial(list, [fired]))
                 case "Track":
-                    self.schedule(3.0, action["node"], partial(self.track, action["node"]))
+                    self.schedule(3.0, action["node"], partial(self.answer_subscription, action["node"]))
                 case "Deny" | "RespondError":
                     self.requests[action["request_id"]].finished = True
 
     def flush(self) -> None:
-        """Nothing is kept back."""
+        """Do nothing: replies are not buffered."""
 
     def schedule(self, after_ms: float, node: str, event: Callable[[], list[Json]]) -> None:
-        """Have something happen; a node's events end with the node."""
+        """Schedule an event; an event of a node is cancelled when the node restarts."""
         after_ms = round(after_ms, 3)
-        heapq.heappush(self.events, (self.now + after_ms, next(self.serial), node, event))
+        heapq.heappush(self.events, (self.now_ms + after_ms, next(self.event_order), node, event))
 
     # Nodes and discovery
 
-    def server(self, entry: Json) -> ServerModel:
-        """A server that behaves as one of the session's kinds does."""
+    def make_server(self, entry: Json) -> ServerModel:
+        """Create a server with one of the session's behaviours."""
         return ServerModel(entry, self.rng.choices(*self.session.behaviours)[0])
 
-    def page(self, entries: list[Json]) -> Json:
-        """A list page under the next number."""
-        self.bank = (self.bank + 1) % 16
+    def page_event(self, entries: list[Json]) -> Json:
+        """Build a list page with the next page number."""
+        self.page_number = (self.page_number + 1) % 16
         elements = [dict(entry) for entry in entries]
-        for element in elements[4:]:  # absent is as good as what is usual; it keeps long lists short
+        for element in elements[4:]:  # omitted defaults keep long lists short
             if element["boot_time_ms"] is None and element["share"] == 1:
                 del element["boot_time_ms"], element["share"], element["sku"]
-        return {"kind": "Page", "bank": self.bank, "elements": elements}
+        return {"kind": "Page", "bank": self.page_number, "elements": elements}
 
-    def view(self, node: str, form: str) -> Json:
-        """The event that tells a node of the last page."""
-        return {"kind": "View", "node": node, "form": form, "stamp": self.stamp, "bank": self.bank}
+    def view_event(self, node: str, form: str) -> Json:
+        """Build the event that refers a node to the last page."""
+        return {
+            "kind": "View",
+            "node": node,
+            "form": form,
+            "stamp": self.list_version,
+            "bank": self.page_number,
+        }
 
-    def whole(self) -> list[Json]:
-        """All entries that are listed."""
+    def listed_entries(self) -> list[Json]:
+        """Return the entries of all servers that are not terminated."""
         return [server.entry for server in self.servers.values() if server.entry["health"] != "terminated"]
 
     def launch(self, node: str) -> list[Json]:
-        """Start a node with the list it held last."""
+        """Start a node with a saved list."""
         if self.session.settings["membership_mode"] == "pushed":
             self.subscribed.add(node)
         salt = self.rng.randrange(2**63)
         start = {"kind": "Launch", "node": node, "salt": salt, "env": self.session.settings}
-        return [start, self.page(self.whole()), self.view(node, "SAVED")]
+        return [start, self.page_event(self.listed_entries()), self.view_event(node, "SAVED")]
 
-    def relaunch(self, node: str) -> list[Json]:
-        """Kill a node and start it anew in the same batch."""
+    def restart(self, node: str) -> list[Json]:
+        """Kill a node and start it again in the same batch."""
         self.events = [event for event in self.events if event[2] != node]
         heapq.heapify(self.events)
         self.subscribed.discard(node)
         for request in self.requests.values():
             request.finished |= request.node == node
         for server in self.servers.values():
-            server.busy = 0
+            server.in_flight = 0
         return [{"kind": "PowerOff", "node": node}, *self.launch(node)]
 
-    def track(self, node: str) -> list[Json]:
-        """Discovery's answer to a subscription."""
+    def answer_subscription(self, node: str) -> list[Json]:
+        """Answer a subscription to the list: with a complete list or a failure."""
         if self.rng.random() < self.session.failing_lists:
             return [{"kind": "View", "node": node, "form": "FAILED", "stamp": 0, "bank": 0}]
         self.subscribed.add(node)
-        return [self.page(self.whole()), self.view(node, "FULL")]
+        return [self.page_event(self.listed_entries()), self.view_event(node, "FULL")]
 
     def change_list(self) -> list[Json]:
-        """Change some entries and tell those who subscribe; now and then break a subscription instead."""
-        self.stamp += 1
-        changed = self.session.change(self.rng, [server.entry for server in self.servers.values()], self.now)
+        """Change some entries and notify the subscribers, or make the subscription of one node fail."""
+        self.list_version += 1
+        changed = self.session.change(
+            self.rng, [server.entry for server in self.servers.values()], self.now_ms
+        )
         for entry in changed:
             if entry["server"] not in self.servers:
-                self.servers[entry["server"]] = self.server(entry)
-        told = [node for node in self.nodes if node in self.subscribed]
-        if told and self.rng.random() < self.session.failing_lists:
-            self.subscribed.discard(told[0])
-            return [{"kind": "View", "node": told[0], "form": "FAILED", "stamp": 0, "bank": 0}]
+                self.servers[entry["server"]] = self.make_server(entry)
+        subscribers = [node for node in self.nodes if node in self.subscribed]
+        if subscribers and self.rng.random() < self.session.failing_lists:
+            self.subscribed.discard(subscribers[0])
+            return [{"kind": "View", "node": subscribers[0], "form": "FAILED", "stamp": 0, "bank": 0}]
         form = "FULL" if self.rng.random() < self.session.full_lists else "INCREMENTAL"
-        page = self.page(self.whole() if form == "FULL" else changed)
-        return [page, *(self.view(node, form) for node in told)]
+        page = self.page_event(self.listed_entries() if form == "FULL" else changed)
+        return [page, *(self.view_event(node, form) for node in subscribers)]
 
     # Clients
 
     def arrive(self, node: str, cls: Json) -> list[Json]:
-        """A request comes in; its client may leave early, and has left once an answer is overdue."""
+        """Create a request; its client disconnects after the deadline, or earlier at random."""
         request_id = f"{node}-{len(self.requests)}"
         ttl_ms = round(cls["give_up_ms"] * self.rng.choice((0.3, 0.6, 1.0)), 3)
-        request = self.requests[request_id] = RequestModel(node, self.now + ttl_ms, cls["stream"])
-        leaves = self.rng.random() < self.session.leaving
-        gone_ms = ttl_ms * self.rng.random() if leaves else ttl_ms + self.session.tick_ms * 2
-        self.schedule(gone_ms, node, partial(self.leave, request_id, request))
+        request = self.requests[request_id] = RequestModel(node, self.now_ms + ttl_ms, cls["stream"])
+        leaves_early = self.rng.random() < self.session.leaving
+        disconnect_after_ms = (
+            ttl_ms * self.rng.random() if leaves_early else ttl_ms + self.session.tick_ms * 2
+        )
+        self.schedule(disconnect_after_ms, node, partial(self.disconnect, request_id, request))
         item = {
             "kind": "JobIn",
             "node": node,
@@ -188,10 +198,10 @@
         item["owner"] = self.rng.choice(owners) if owners else self.rng.choice((0, None))
         if self.rng.random() < 0.1:
             item |= {"again_by_client": True, "update": True, "entity": "acct/k1", "size_hint_ms": 12.0}
-        return [item, *self.heard(node)]
+        return [item, *self.unused_events(node)]
 
-    def heard(self, node: str) -> list[Json]:
-        """Now and then, an event that a node which neither probes nor tells has no use for."""
+    def unused_events(self, node: str) -> list[Json]:
+        """Return, at random, events that this node must ignore."""
         if self.rng.random() < 0.95:
             return []
         server = self.rng.choice(list(self.servers))
@@ -199,8 +209,8 @@
         status |= {"duration_ms": 1.4, "report": None}
         return [status, {"kind": "NeighbourSays", "node": node, "src": 2, "msg": "68692037"}]
 
-    def leave(self, request_id: str, request: RequestModel) -> list[Json]:
-        """The client goes, unless it has been answered."""
+    def disconnect(self, request_id: str, request: RequestModel) -> list[Json]:
+        """Disconnect the client, unless its request is finished."""
         if request.finished:
             return []
         request.finished = True
@@ -208,54 +218,56 @@
 
     # Attempts
 
-    def submit(self, action: Json) -> None:
-        """An attempt begins: its outcome is drawn now and delivered when it is due."""
+    def begin_attempt(self, action: Json) -> None:
+        """Begin an attempt: draw its outcome and schedule its end."""
         request, server = self.requests[action["request_id"]], self.servers[action["server"]]
-        code, duration_ms = self.outcome(request, server, action.get("within_ms") or 0.0)
+        code, duration_ms = self.draw_outcome(request, server, action.get("within_ms") or 0.0)
         number, request.attempts = request.attempts, request.attempts + 1
-        server.busy += 1
+        server.in_flight += 1
         ended = {"kind": "Completed", "node": action["node"], "request_id": action["request_id"]}
         ended |= {"settled": False, "disposition": code, "duration_ms": duration_ms}
         ended |= {"server": action["server"], "send_no": number}
-        if request.stream and code == OK:
+        if request.is_stream and code == OK:
             names = ("node", "request_id", "server", "send_no")
             started = {"kind": "Streaming", **{name: ended[name] for name in names}}
             started["duration_ms"] = round(duration_ms / 2.0, 3)
             self.schedule(duration_ms / 2.0, action["node"], partial(list, [started]))
-        self.schedule(duration_ms, action["node"], partial(self.complete, request, server, ended))
+        self.schedule(duration_ms, action["node"], partial(self.end_attempt, request, server, ended))
 
-    def outcome(self, request: RequestModel, server: ServerModel, within_ms: float) -> tuple[int, float]:
-        """How an attempt ends, and how long it takes."""
-        limit_ms = max(0.0, request.ends_ms - self.now)
+    def draw_outcome(self, request: RequestModel, server: ServerModel, within_ms: float) -> tuple[int, float]:
+        """Draw the outcome of an attempt, and its duration in milliseconds."""
+        limit_ms = max(0.0, request.deadline_ms - self.now_ms)
         limit_ms = round(min(limit_ms, within_ms) if within_ms > 0.0 else limit_ms, 3)
-        luck, session = self.rng.random(), self.session
-        if request.finished or luck > NOT_SENT:
-            return NEVER_SENT, 0.0
-        if luck > UNANSWERED:
+        draw, session = self.rng.random(), self.session
+        if request.finished or draw > NOT_SENT_ABOVE:
+            return NOT_SENT, 0.0
+        if draw > TIMEOUT_ABOVE:
             return TIMEOUT, limit_ms
-        failure = self.failure(server, luck, limit_ms)
+        failure = self.find_failure(server, draw, limit_ms)
         if failure is not None:
             return failure
-        work_ms = session.work_ms * server.slow * (0.5 + self.rng.random()) * (1.0 + server.busy / 2.0)
+        work_ms = (
+            session.work_ms * server.slowdown * (0.5 + self.rng.random()) * (1.0 + server.in_flight / 2.0)
+        )
         return (OK, round(work_ms, 3)) if work_ms < limit_ms else (TIMEOUT, limit_ms)
 
-    def failure(self, server: ServerModel, luck: float, limit_ms: float) -> tuple[int, float] | None:
-        """How an attempt fails at a server, and how long that takes; None if the server works on it."""
+    def find_failure(self, server: ServerModel, draw: float, limit_ms: float) -> tuple[int, float] | None:
+        """Return how an attempt fails at a server, and after how many milliseconds; None if it does not."""
         session = self.session
-        if luck < server.down or server.entry["health"] == "terminated":
+        if draw < server.unreachable_fraction or server.entry["health"] == "terminated":
             return CONNECT_FAILED, min(limit_ms, session.settings["permissions"]["connect_timeout_ms"])
-        if server.busy >= session.room or server.entry["health"] == "terminating":
-            return FULL, min(limit_ms, 1.0)
-        if luck < server.down + server.error:
+        if server.in_flight >= session.room or server.entry["health"] == "terminating":
+            return REJECTED, min(limit_ms, 1.0)
+        if draw < server.unreachable_fraction + server.error_fraction:
             return ERROR, min(limit_ms, 2.0)
-        if luck < server.down + server.error + server.reset:
+        if draw < server.unreachable_fraction + server.error_fraction + server.reset_fraction:
             return RESET, min(limit_ms, self.rng.choice((0.5, 25.0)))
         return None
 
-    def complete(self, request: RequestModel, server: ServerModel, ended: Json) -> list[Json]:
-        """An attempt ends; a success is the request's answer."""
-        server.busy = max(0, server.busy - 1)
+    def end_attempt(self, request: RequestModel, server: ServerModel, ended: Json) -> list[Json]:
+        """End an attempt; a success finishes the request."""
+        server.in_flight = max(0, server.in_flight - 1)
         request.finished |= ended["disposition"] == OK
-        fields = {"inflight": server.busy, "queue": self.rng.randrange(-1, 4), "util": None}
+        fields = {"inflight": server.in_flight, "queue": self.rng.randrange(-1, 4), "util": None}
         reported = self.session.settings["stats"]["how"] == "piggyback"
         return [ended | {"settled": request.finished} | ({"report": fields} if reported else {})]
