--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -182,9 +182,9 @@
         (
             Patch(
                 SERVER_CONNECTION,
-                "        self._is_open = False\n        self._owner.forget(self)\n",
+                "        self._is_open = False\n        self._owner.remove(self)\n",
                 "        self.eof_received()\n"
-                "        self._is_open = False\n        self._owner.forget(self)\n",
+                "        self._is_open = False\n        self._owner.remove(self)\n",
             ),
         ),
     ),
@@ -192,7 +192,7 @@
         "connections of aborted attempts are left open",
         Rule.DUPLICATE,
         (FaultKind.PROXY_HOLD, FaultKind.SERVER_HANG),
-        (Patch(SERVER_CONNECTION, "        attempt.carrier = self\n", ""),),
+        (Patch(SERVER_CONNECTION, "        attempt.connection = self\n", ""),),
     ),
     BrokenNode(
         "failed requests are not answered",
--- a/tests/wire_simulation.py
+++ b/tests/wire_simulation.py
@@ -54,20 +54,22 @@
         self.nodes = [f"n{number}" for number in range(session.nodes)]
         self.subscribed: set[str] = set()
         self.list_version, self.page_number = 1, 0
-        self.servers = {entry["server"]: self.make_server(entry) for entry in session.entries(self.rng)}
+        self.servers = {
+            entry["server"]: self.make_server(entry) for entry in session.initial_entries(self.rng)
+        }
         for node in self.nodes:
             self.schedule(0.0, "", partial(self.launch, node))
-            self.schedule(session.relaunch_after_ms, "", partial(self.restart, node))
+            self.schedule(session.node_restart_after_ms, "", partial(self.restart, node))
         for after_ms, node, cls in session.arrivals(self.rng, self.nodes):
             self.schedule(after_ms, "", partial(self.arrive, node, cls))
-        for step in range(1, session.list_changes + 1):
-            self.schedule(step * session.span_ms / (session.list_changes + 1), "", self.change_list)
+        for step in range(1, session.list_updates + 1):
+            self.schedule(step * session.arrival_span_ms / (session.list_updates + 1), "", self.change_list)
 
     # The input and output streams of the adapter
 
     def readline(self) -> str:
         """Return the next batch, with the events due at the next tick; empty at the end of the session."""
-        self.events = [event for event in self.events if event[0] < self.session.ends_ms]
+        self.events = [event for event in self.events if event[0] < self.session.end_at_ms]
         heapq.heapify(self.events)
         if not self.events:
             return ""
@@ -153,7 +155,7 @@
 
     def answer_subscription(self, node: str) -> list[Json]:
         """Answer a subscription to the list: with a complete list or a failure."""
-        if self.rng.random() < self.session.failing_lists:
+        if self.rng.random() < self.session.list_failure_fraction:
             return [{"kind": "View", "node": node, "form": "FAILED", "stamp": 0, "bank": 0}]
         self.subscribed.add(node)
         return [self.page_event(self.listed_entries()), self.view_event(node, "FULL")]
@@ -161,17 +163,17 @@
     def change_list(self) -> list[Json]:
         """Change some entries and notify the subscribers, or make the subscription of one node fail."""
         self.list_version += 1
-        changed = self.session.change(
+        changed = self.session.change_entries(
             self.rng, [server.entry for server in self.servers.values()], self.now_ms
         )
         for entry in changed:
             if entry["server"] not in self.servers:
                 self.servers[entry["server"]] = self.make_server(entry)
         subscribers = [node for node in self.nodes if node in self.subscribed]
-        if subscribers and self.rng.random() < self.session.failing_lists:
+        if subscribers and self.rng.random() < self.session.list_failure_fraction:
             self.subscribed.discard(subscribers[0])
             return [{"kind": "View", "node": subscribers[0], "form": "FAILED", "stamp": 0, "bank": 0}]
-        form = "FULL" if self.rng.random() < self.session.full_lists else "INCREMENTAL"
+        form = "FULL" if self.rng.random() < self.session.full_list_fraction else "INCREMENTAL"
         page = self.page_event(self.listed_entries() if form == "FULL" else changed)
         return [page, *(self.view_event(node, form) for node in subscribers)]
 
@@ -182,7 +184,7 @@
         request_id = f"{node}-{len(self.requests)}"
         ttl_ms = round(cls["give_up_ms"] * self.rng.choice((0.3, 0.6, 1.0)), 3)
         request = self.requests[request_id] = RequestModel(node, self.now_ms + ttl_ms, cls["stream"])
-        leaves_early = self.rng.random() < self.session.leaving
+        leaves_early = self.rng.random() < self.session.client_leave_fraction
         disconnect_after_ms = (
             ttl_ms * self.rng.random() if leaves_early else ttl_ms + self.session.tick_ms * 2
         )
@@ -256,7 +258,7 @@
         session = self.session
         if draw < server.unreachable_fraction or server.entry["health"] == "terminated":
             return CONNECT_FAILED, min(limit_ms, session.settings["permissions"]["connect_timeout_ms"])
-        if server.in_flight >= session.room or server.entry["health"] == "terminating":
+        if server.in_flight >= session.server_capacity or server.entry["health"] == "terminating":
             return REJECTED, min(limit_ms, 1.0)
         if draw < server.unreachable_fraction + server.error_fraction:
             return ERROR, min(limit_ms, 2.0)
