--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -1,7 +1,7 @@
-"""The node's exact bytes to servers and to discovery, as they are today.
+"""Compares the node's requests to servers and to discovery with recorded bytes.
 
-A change of what is expected here is a change of what others see. Ports and budgets, which differ from run to
-run, are masked.
+A change of the recorded bytes is a change of the external behaviour. Ports and budgets are masked, because
+they differ from run to run.
 """
 
 from __future__ import annotations
@@ -28,124 +28,124 @@
     until,
 )
 
-IDS = b"X-Call-Id: a\r\nX-Budget: 20\r\n"
-GET = b"GET /read HTTP/1.1\r\n" + IDS
-POST = b"POST /pay HTTP/1.1\r\n" + IDS
-SAVE = b"POST /save HTTP/1.1\r\nHost: api.internal\r\n" + IDS + b"Idempotency-Key: k-1\r\n"
+REQUIRED_HEADERS = b"X-Call-Id: a\r\nX-Budget: 20\r\n"
+GET = b"GET /read HTTP/1.1\r\n" + REQUIRED_HEADERS
+POST = b"POST /pay HTTP/1.1\r\n" + REQUIRED_HEADERS
+SAVE = b"POST /save HTTP/1.1\r\nHost: api.internal\r\n" + REQUIRED_HEADERS + b"Idempotency-Key: k-1\r\n"
 SAVE += b'Content-Type: application/json\r\nContent-Length: 7\r\n\r\n{"a":1}'
-END = b"GET /-/end HTTP/1.1\r\nConnection: close\r\n\r\n"  # sent where the node would keep the connection
-ENDED = b"HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 12\r\n\r\nno such path"
+CLOSING_REQUEST = b"GET /-/end HTTP/1.1\r\nConnection: close\r\n\r\n"  # makes the node close the connection
+CLOSING_RESPONSE = b"HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 12\r\n\r\nno such path"
 DONE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 FAILED = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 6\r\n\r\nfailed"
 REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 7\r\n\r\nrefused"
-SERVED = b"Host: 127.0.0.1:*\r\nX-Call-Id: a\r\nX-Budget: *\r\n"  # what every request to a server begins with
-GET_SENT = b"GET /read HTTP/1.1\r\n" + SERVED + b"\r\n"
-POST_SENT = b"POST /pay HTTP/1.1\r\n" + SERVED + b"Content-Length: 0\r\n\r\n"
-SAVE_SENT = b"POST /save HTTP/1.1\r\n" + SERVED + b"Idempotency-Key: k-1\r\n"
+SERVER_HEADERS = b"Host: 127.0.0.1:*\r\nX-Call-Id: a\r\nX-Budget: *\r\n"  # common to all requests to servers
+GET_SENT = b"GET /read HTTP/1.1\r\n" + SERVER_HEADERS + b"\r\n"
+POST_SENT = b"POST /pay HTTP/1.1\r\n" + SERVER_HEADERS + b"Content-Length: 0\r\n\r\n"
+SAVE_SENT = b"POST /save HTTP/1.1\r\n" + SERVER_HEADERS + b"Idempotency-Key: k-1\r\n"
 SAVE_SENT += b'Content-Type: application/json\r\nContent-Length: 7\r\n\r\n{"a":1}'
 
 
 class RecordingReader:
-    """Reads for a peer and keeps the bytes."""
+    """A stream reader that records the bytes that it reads."""
 
-    def __init__(self, reader: asyncio.StreamReader, kept: bytearray) -> None:
-        self._reader, self._kept = reader, kept
+    def __init__(self, reader: asyncio.StreamReader, recording: bytearray) -> None:
+        self._reader, self._recording = reader, recording
 
-    async def _keep(self, data: Any) -> bytes:
-        """Keep what a read finds, also where the connection ends midway."""
+    async def _record(self, read: Any) -> bytes:
+        """Await a read and record its bytes, including those before an early end of the connection."""
         try:
-            found: bytes = await data
+            data: bytes = await read
         except asyncio.IncompleteReadError as end:
-            self._kept += end.partial
+            self._recording += end.partial
             raise
-        self._kept += found
-        return found
+        self._recording += data
+        return data
 
     async def readuntil(self, separator: bytes) -> bytes:
-        """As a stream reader does."""
-        return await self._keep(self._reader.readuntil(separator))
+        """Read up to and including the separator."""
+        return await self._record(self._reader.readuntil(separator))
 
     async def readexactly(self, size: int) -> bytes:
-        """As a stream reader does."""
-        return await self._keep(self._reader.readexactly(size))
+        """Read exactly `size` bytes."""
+        return await self._record(self._reader.readexactly(size))
 
 
-class RawPeer(ScriptedListener):
-    """A peer that keeps all bytes it gets."""
+class RecordingListener(ScriptedListener):
+    """A scripted listener that records all received bytes."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        self.raw = bytearray()
+        self.received_bytes = bytearray()
 
     def _serve(self, reader: Any, writer: asyncio.StreamWriter) -> Coroutine[Any, Any, None]:
-        """Serve a connection as any peer does, through a reader that keeps the bytes."""
-        recording: Any = RecordingReader(reader, self.raw)
-        return super()._serve(recording, writer)
+        """Serve a connection through a reader that records the bytes."""
+        recording_reader: Any = RecordingReader(reader, self.received_bytes)
+        return super()._serve(recording_reader, writer)
 
-    def masked(self) -> bytes:
-        """What it has got, without what differs from run to run."""
-        without_ports = re.sub(rb"127\.0\.0\.1:[0-9]+", b"127.0.0.1:*", self.raw)
+    def masked_bytes(self) -> bytes:
+        """Return the received bytes with ports and budgets masked."""
+        without_ports = re.sub(rb"127\.0\.0\.1:[0-9]+", b"127.0.0.1:*", self.received_bytes)
         return re.sub(rb"X-Budget: [0-9]+\.[0-9]{3}\r", b"X-Budget: *\r", without_ports)
 
 
-class RawServer(RawPeer, Server):
-    """A server that keeps all bytes it gets."""
+class RecordingServer(RecordingListener, Server):
+    """A server that records all received bytes."""
 
 
-class RawRegistry(RawPeer, ScriptedDiscoveryAgent):
-    """Discovery that keeps all bytes it gets."""
+class RecordingDiscoveryAgent(RecordingListener, ScriptedDiscoveryAgent):
+    """A discovery agent that records all received bytes."""
 
 
 async def exchange(environment: NodeEnvironment, data: bytes) -> bytes:
-    """All that a caller gets for what it sends, up to the close."""
-    caller = await environment.client()
-    caller.write(data)
-    return await asyncio.wait_for(caller.reader.read(), WAIT_TIMEOUT_S)
+    """Send `data` on a new connection and return all bytes received until it is closed."""
+    client = await environment.client()
+    client.write(data)
+    return await asyncio.wait_for(client.reader.read(), WAIT_TIMEOUT_S)
 
 
-TO_SERVERS: dict[str, tuple[bytes, list[bytes], bytes, bytes]] = {
-    "a query and headers of no use to servers": (
+SERVER_CASES: dict[str, tuple[bytes, list[bytes], bytes, bytes]] = {
+    "a query and headers that are not forwarded": (
         b"GET /read/items?q=a%20b&n=1 HTTP/1.1\r\nHost: api.internal\r\n"
-        + IDS
+        + REQUIRED_HEADERS
         + b"X-Caller: shop\r\nX-Again: 1\r\nAccept: */*\r\n\r\n",
         [],
-        b"GET /read/items?q=a%20b&n=1 HTTP/1.1\r\n" + SERVED + b"\r\n",
+        b"GET /read/items?q=a%20b&n=1 HTTP/1.1\r\n" + SERVER_HEADERS + b"\r\n",
         DONE,
     ),
-    "a key, a body and its type": (SAVE, [], SAVE_SENT, DONE),
-    "unsafe without a body": (POST + b"\r\n", [], POST_SENT, DONE),
-    "unsafe in chunks": (
+    "an idempotency key, a body and its content type": (SAVE, [], SAVE_SENT, DONE),
+    "a non-idempotent request without a body": (POST + b"\r\n", [], POST_SENT, DONE),
+    "a non-idempotent request in chunks": (
         POST + b"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n3;x=y\r\n yo\r\n0\r\n\r\n",
         [],
-        b"POST /pay HTTP/1.1\r\n" + SERVED + b"Content-Length: 5\r\n\r\nhi yo",
+        b"POST /pay HTTP/1.1\r\n" + SERVER_HEADERS + b"Content-Length: 5\r\n\r\nhi yo",
         DONE,
     ),
     "a retry after an error": (GET + b"\r\n", [render_response(500)], GET_SENT * 2, DONE),
     "a keyed retry after an error": (SAVE, [render_response(500)], SAVE_SENT * 2, DONE),
-    "a keyed retry after two refusals": (
+    "two keyed retries after rejections": (
         SAVE,
         [render_response(503), render_response(429)],
         SAVE_SENT * 3,
         DONE,
     ),
     "all attempts fail": (GET + b"\r\n", [render_response(500)] * 3, GET_SENT * 3, REFUSED),
-    "a status that is no answer": (GET + b"\r\n", [render_response(404)] * 3, GET_SENT * 3, REFUSED),
-    "an unsafe one fails": (POST + b"\r\n", [render_response(500)], POST_SENT, FAILED),
-    "an unsafe one is refused": (POST + b"\r\n", [render_response(503)], POST_SENT, FAILED),
-    "an unsafe one has no answer in time": (POST.replace(b"20", b"1") + b"\r\n", [HANG], POST_SENT, FAILED),
-    "an answer in chunks": (
+    "a status that is not a success": (GET + b"\r\n", [render_response(404)] * 3, GET_SENT * 3, REFUSED),
+    "a non-idempotent request fails": (POST + b"\r\n", [render_response(500)], POST_SENT, FAILED),
+    "a non-idempotent request is rejected": (POST + b"\r\n", [render_response(503)], POST_SENT, FAILED),
+    "a non-idempotent request times out": (POST.replace(b"20", b"1") + b"\r\n", [HANG], POST_SENT, FAILED),
+    "a response in chunks": (
         GET + b"\r\n",
         [b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"],
         GET_SENT,
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
     ),
-    "an answer with a type and more": (
+    "a response with a content type and another header": (
         GET + b"\r\n",
         [render_response(200, b"{}", "Content-Type: application/json\r\nX-More: 1\r\n")],
         GET_SENT,
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}",
     ),
-    "two in one write": (
+    "two requests in one write": (
         GET + b"\r\n" + GET.replace(b": a", b": b") + b"\r\n",
         [render_response(200, b"1"), render_response(200, b"2")],
         GET_SENT + GET_SENT.replace(b": a", b": b"),
@@ -154,33 +154,37 @@
 }
 
 
-@pytest.mark.parametrize(("sent", "script", "got", "answered"), TO_SERVERS.values(), ids=TO_SERVERS.keys())
-def test_what_a_server_gets(
-    sent: bytes, script: list[bytes], got: bytes, answered: bytes, tmp_path: Path
+@pytest.mark.parametrize(
+    ("sent", "script", "forwarded", "response"), SERVER_CASES.values(), ids=SERVER_CASES.keys()
+)
+def test_requests_to_servers_match_the_recorded_bytes(
+    sent: bytes, script: list[bytes], forwarded: bytes, response: bytes, tmp_path: Path
 ) -> None:
-    """The requests on a server's connections, and the answer that the caller gets in the end."""
+    """The node forwards the recorded requests to the server and the recorded response to the client."""
 
     async def test() -> None:
-        server = RawServer(*script)
+        server = RecordingServer(*script)
         async with node_environment(tmp_path, server) as environment:
-            assert await exchange(environment, sent + END) == answered + ENDED
-            assert server.masked() == got
+            assert await exchange(environment, sent + CLOSING_REQUEST) == response + CLOSING_RESPONSE
+            assert server.masked_bytes() == forwarded
 
     run(test())
 
 
-def test_what_discovery_gets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The whole list first, then watches, each from the version last heard."""
-    monkeypatch.setattr(peers, "ScriptedDiscoveryAgent", RawRegistry)
+def test_requests_to_discovery_match_the_recorded_bytes(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The node gets the complete list first, then watches for changes since the last received version."""
+    monkeypatch.setattr(peers, "ScriptedDiscoveryAgent", RecordingDiscoveryAgent)
 
     async def test() -> None:
         async with node_environment(tmp_path, server := Server()) as environment:
-            registry = environment.agent
-            assert isinstance(registry, RawRegistry)
-            await until(lambda: registry.watches() == 1)
-            registry.publish(server.entry(), index=7)
-            await until(lambda: registry.watches() == 2)
-            assert registry.masked() == (
+            agent = environment.agent
+            assert isinstance(agent, RecordingDiscoveryAgent)
+            await until(lambda: agent.watches() == 1)
+            agent.publish(server.entry(), index=7)
+            await until(lambda: agent.watches() == 2)
+            assert agent.masked_bytes() == (
                 b"GET /api/targets HTTP/1.1\r\nHost: 127.0.0.1:*\r\n\r\n"
                 b"GET /api/targets?index=1&wait=800 HTTP/1.1\r\nHost: 127.0.0.1:*\r\n\r\n"
                 b"GET /api/targets?index=7&wait=800 HTTP/1.1\r\nHost: 127.0.0.1:*\r\n\r\n"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter as a process: one line in and one line out for each batch."""
+"""Tests of the simulator adapter as a process, which writes one reply line for each batch line it reads."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     "tier": 0,
     "membership_mode": "on_request",
     "quantum_ms": 5.0,
-    "permissions": {"max_attempts": 3, "connect_timeout_ms": 100.0, "may_cancel": True, "unheard_of": 1},
+    "permissions": {"max_attempts": 3, "connect_timeout_ms": 100.0, "may_cancel": True, "no_such_key": 1},
     "rules": {
         "ask_every_ms": 10000.0,
         "stop_sending_within_ms": 500.0,
@@ -75,7 +75,7 @@
 }
 
 
-def launch(node: str, salt: int = 7, env: dict[str, Any] = SETTINGS) -> list[dict[str, Any]]:
+def launch_items(node: str, salt: int = 7, env: dict[str, Any] = SETTINGS) -> list[dict[str, Any]]:
     servers = [
         {
             "server": n,
@@ -95,7 +95,9 @@
     ]
 
 
-def job(node: str, request_id: str, class_name: str = "read", owner: str | None = "a") -> dict[str, Any]:
+def request_item(
+    node: str, request_id: str, class_name: str = "read", owner: str | None = "a"
+) -> dict[str, Any]:
     return {
         "kind": "JobIn",
         "node": node,
@@ -110,7 +112,7 @@
     }
 
 
-def completed(node: str, action: dict[str, Any], disposition: int, send_no: int = 0) -> dict[str, Any]:
+def outcome_item(node: str, action: dict[str, Any], disposition: int, send_no: int = 0) -> dict[str, Any]:
     return {
         "kind": "Completed",
         "node": node,
@@ -124,7 +126,7 @@
     }
 
 
-def run(lines: list[Any], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(lines: list[Any], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
         [sys.executable, "-m", "workspond.simulator_adapter"],
@@ -138,23 +140,23 @@
     )
 
 
-def batch(number: int, *items: dict[str, Any], now: float | None = None) -> dict[str, Any]:
-    return {"ts_ms": 1000.0 * number if now is None else now, "round": number, "items": list(items)}
+def batch(number: int, *items: dict[str, Any], time_ms: float | None = None) -> dict[str, Any]:
+    return {"ts_ms": 1000.0 * number if time_ms is None else time_ms, "round": number, "items": list(items)}
 
 
-def script(nodes: list[str], rename: dict[str, str] | None = None) -> list[Any]:
-    """Fixed batches; outcomes name servers, whether or not they were picked."""
+def fixed_batches(nodes: list[str], rename: dict[str, str] | None = None) -> list[Any]:
+    """Build fixed batches; outcomes name servers regardless of which the adapter selected."""
     classes = ["read", "pay", "save"]
-    lines = [batch(1, *(item for n, node in enumerate(nodes) for item in launch(node, 7 + n)))]
+    lines = [batch(1, *(item for n, node in enumerate(nodes) for item in launch_items(node, 7 + n)))]
     for step in range(2, 80):
         items = []
         for node in nodes:
-            items.append(job(node, f"{node}-{step}", classes[step % 3]))
+            items.append(request_item(node, f"{node}-{step}", classes[step % 3]))
             previous = {"request_id": f"{node}-{step - 1}", "server": step % 5}
             if step > 2:
-                items.append(completed(node, previous, [100, 301, 302, 303, 304][step % 5]))
+                items.append(outcome_item(node, previous, [100, 301, 302, 303, 304][step % 5]))
             items.append({"kind": "Fired", "node": node, "nonce": step // 2})
-        lines.append(batch(step, *items, now=1000.0 + 40.0 * step))
+        lines.append(batch(step, *items, time_ms=1000.0 + 40.0 * step))
     if rename is None:
         return lines
     text = json.dumps(lines)
@@ -164,42 +166,47 @@
     return renamed
 
 
-def replies(result: subprocess.CompletedProcess[str]) -> list[Any]:
+def read_replies(result: subprocess.CompletedProcess[str]) -> list[Any]:
     assert result.returncode == 0, result.stderr
     return [json.loads(line) for line in result.stdout.splitlines()]
 
 
-def test_a_request_is_sent_and_the_reply_numbered() -> None:
-    lines = [batch(1), batch(2, *launch("node-0")), batch(3, job("node-0", "q"))]
-    [empty, first, second] = replies(run(lines))
+def test_a_request_is_sent_to_a_server_and_each_reply_has_the_round_of_its_batch() -> None:
+    lines = [batch(1), batch(2, *launch_items("node-0")), batch(3, request_item("node-0", "q"))]
+    [empty, first, second] = read_replies(run_adapter(lines))
     assert empty == {"round": 1, "actions": []}
     assert {"kind": "Track", "node": "node-0", "on": True} in first["actions"]
     [send] = second["actions"]
     assert send["kind"] == "SubmitTo" and send["request_id"] == "q" and send["within_ms"] <= 2500.0
 
 
-def test_power_off_forgets_and_a_new_life_starts() -> None:
-    lines = [batch(1, *launch("node-0")), batch(2, {"kind": "PowerOff", "node": "node-0"}, *launch("node-0"))]
-    assert len(replies(run(lines))) == 2
+def test_power_off_and_launch_in_one_batch_start_the_node_again() -> None:
+    lines = [
+        batch(1, *launch_items("node-0")),
+        batch(2, {"kind": "PowerOff", "node": "node-0"}, *launch_items("node-0")),
+    ]
+    assert len(read_replies(run_adapter(lines))) == 2
 
 
-def test_hash_seeds_and_processes_change_nothing() -> None:
-    both = replies(run(script(["node-0", "node-1"])))
-    assert both == replies(run(script(["node-0", "node-1"]), hash_seed="4242"))
+def test_decisions_do_not_depend_on_the_hash_seed_or_on_other_nodes_in_the_process() -> None:
+    together = read_replies(run_adapter(fixed_batches(["node-0", "node-1"])))
+    assert together == read_replies(run_adapter(fixed_batches(["node-0", "node-1"]), hash_seed="4242"))
     for n, node in enumerate(["node-0", "node-1"]):
         lines = (
-            script([node])
+            fixed_batches([node])
             if n == 0
             else [
                 {**line, "items": [i for i in line["items"] if i.get("node", node) == node]}
-                for line in script(["node-0", "node-1"])
+                for line in fixed_batches(["node-0", "node-1"])
             ]
         )
-        alone = replies(run(lines))
-        assert [r["actions"] for r in alone] == [[a for a in r["actions"] if a["node"] == node] for r in both]
+        alone = read_replies(run_adapter(lines))
+        assert [r["actions"] for r in alone] == [
+            [a for a in r["actions"] if a["node"] == node] for r in together
+        ]
 
 
-def test_names_change_no_decision() -> None:
+def test_decisions_do_not_depend_on_the_names_of_classes_tenants_zones_and_stages() -> None:
     names = {
         "read": "zz",
         "pay": "aa",
@@ -211,33 +218,35 @@
         "front": "x",
         "back": "y",
     }
-    assert replies(run(script(["node-0"]))) == replies(run(script(["node-0"], names)))
+    assert read_replies(run_adapter(fixed_batches(["node-0"]))) == read_replies(
+        run_adapter(fixed_batches(["node-0"], names))
+    )
 
 
-def test_reports_may_miss_values_or_be_negative_and_an_owner_may_be_0() -> None:
-    reports: list[Any] = [None, {}, {"queue": None}, {"queue": -3.0, "util": 0.5}, {"unheard_of": 1e300}]
-    lines = [batch(1, *launch("node-0"))]
+def test_reports_with_missing_or_negative_values_and_owner_0_are_accepted() -> None:
+    reports: list[Any] = [None, {}, {"queue": None}, {"queue": -3.0, "util": 0.5}, {"no_such_key": 1e300}]
+    lines = [batch(1, *launch_items("node-0"))]
     for n, report in enumerate(reports, 2):
-        request = {**job("node-0", f"q{n}"), "owner": 0}
-        outcome = {**completed("node-0", {"request_id": f"q{n}", "server": 1}, 100), "report": report}
+        request = {**request_item("node-0", f"q{n}"), "owner": 0}
+        outcome = {**outcome_item("node-0", {"request_id": f"q{n}", "server": 1}, 100), "report": report}
         lines.append(batch(n, request, outcome))
-    assert len(replies(run(lines))) == len(lines)
+    assert len(read_replies(run_adapter(lines))) == len(lines)
 
 
-def test_every_action_has_a_format_with_attributes_that_it_has() -> None:
+def test_each_action_has_a_format_that_names_only_its_own_attributes() -> None:
     assert set(ACTION_FORMATS) == set(get_args(PolicyAction))
     for action, action_format in ACTION_FORMATS.items():
         names = {field.name for field in dataclasses.fields(action)}
         assert set(action_format.fields.values()) <= names, action
 
 
-def test_the_end_of_input_is_the_end() -> None:
-    result = run([])
+def test_empty_input_exits_with_status_0_and_no_output() -> None:
+    result = run_adapter([])
     assert (result.returncode, result.stdout, result.stderr) == (0, "", "")
 
 
 def changed_settings(path: list[Any], value: Any = None) -> dict[str, Any]:
-    """The settings with one value replaced, or removed if none is given."""
+    """Return the settings with the value at `path` replaced, or removed if no value is given."""
     env = copy.deepcopy(SETTINGS)
     part = env
     for key in path[:-1]:
@@ -250,7 +259,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "words"),
+    ("line", "expected_words"),
     [
         ("{not json", ["line 2", "JSON"]),
         ("[]", ["line 2", "object"]),
@@ -258,50 +267,52 @@
         ({"ts_ms": 5.0, "round": 2, "items": 7}, ["items", "array"]),
         ({"ts_ms": 5.0, "round": 2, "items": [3]}, ["items[0]", "object"]),
         (batch(2, {"kind": "Nonsense", "node": "node-0"}), ["items[0]", "unknown kind"]),
-        (batch(2, job("node-9", "q")), ["node-9", "not running"]),
-        (batch(2, {**job("node-0", "q"), "ttl_ms": "soon"}), ["ttl_ms", "number"]),
-        (batch(2, {**job("node-0", "q"), "ttl_ms": True}), ["ttl_ms", "number"]),
-        (batch(2, job("node-0", "q", "no-such-class")), ["type", "no-such-class"]),
-        (batch(2, completed("node-0", {"request_id": "q", "server": 1}, 999)), ["disposition", "999"]),
+        (batch(2, request_item("node-9", "q")), ["node-9", "not running"]),
+        (batch(2, {**request_item("node-0", "q"), "ttl_ms": "soon"}), ["ttl_ms", "number"]),
+        (batch(2, {**request_item("node-0", "q"), "ttl_ms": True}), ["ttl_ms", "number"]),
+        (batch(2, request_item("node-0", "q", "no-such-class")), ["type", "no-such-class"]),
+        (batch(2, outcome_item("node-0", {"request_id": "q", "server": 1}, 999)), ["disposition", "999"]),
         (batch(2, {"kind": "Fired", "node": "node-0"}), ["nonce", "missing"]),
         (batch(2, {"kind": "View", "node": "node-0", "form": "FULL", "stamp": 2, "bank": 5}), ["bank", "5"]),
         (
-            batch(2, *launch("node-1", env=changed_settings(["rules", "ramp_time_ms"]))),
+            batch(2, *launch_items("node-1", env=changed_settings(["rules", "ramp_time_ms"]))),
             ["ramp_time_ms", "missing"],
         ),
         (
-            batch(2, *launch("node-1", env=changed_settings(["classes", 0, "semantics"], "x"))),
+            batch(2, *launch_items("node-1", env=changed_settings(["classes", 0, "semantics"], "x"))),
             ["semantics", "'x'"],
         ),
         (
-            batch(2, *launch("node-1", env=changed_settings(["siblings"], "two"))),
+            batch(2, *launch_items("node-1", env=changed_settings(["siblings"], "two"))),
             ["siblings", "whole number"],
         ),
-        (batch(2, *launch("node-1", env=changed_settings(["classes"], []))), ["items[1]", "classes"]),
+        (batch(2, *launch_items("node-1", env=changed_settings(["classes"], []))), ["items[1]", "classes"]),
         (
-            batch(2, *launch("node-1", env=changed_settings(["rules", "start_capacity"], 1.5))),
+            batch(2, *launch_items("node-1", env=changed_settings(["rules", "start_capacity"], 1.5))),
             ["start_capacity"],
         ),
         (
-            batch(2, *launch("node-1", env=changed_settings(["rules", "ramp_time_ms"], -1.0))),
+            batch(2, *launch_items("node-1", env=changed_settings(["rules", "ramp_time_ms"], -1.0))),
             ["ramp_time_ms"],
         ),
         ('{"ts_ms": NaN, "round": 2, "items": []}', ["ts_ms", "finite"]),
-        (batch(2, {**job("node-0", "q"), "ttl_ms": float("inf")}), ["ttl_ms", "finite"]),
+        (batch(2, {**request_item("node-0", "q"), "ttl_ms": float("inf")}), ["ttl_ms", "finite"]),
         ("[" * 100_000, ["line 2", "JSON"]),
         (
             batch(
-                2, {**completed("node-0", {"request_id": "q", "server": 1}, 100), "report": {"queue": "x"}}
+                2, {**outcome_item("node-0", {"request_id": "q", "server": 1}, 100), "report": {"queue": "x"}}
             ),
             ["queue", "number"],
         ),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(line: Any, words: list[str]) -> None:
-    result = run([batch(1, *launch("node-0")), line, batch(3)])
+def test_malformed_input_exits_with_status_2_and_a_one_line_error(
+    line: Any, expected_words: list[str]
+) -> None:
+    result = run_adapter([batch(1, *launch_items("node-0")), line, batch(3)])
     assert result.returncode == 2
     assert len(result.stdout.splitlines()) == 1
     [message] = result.stderr.splitlines()
     assert "Traceback" not in message
-    for word in words:
+    for word in expected_words:
         assert word in message
