--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,8 +12,8 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from soak.run import Result, play, servers_for
-from soak.schedule import FAULTS_PER_S, FaultKind, Schedule, ScheduleError, draw, read_schedule
+from soak.run import Result, play, server_count
+from soak.schedule import FAULTS_PER_S, FaultKind, Schedule, ScheduleError, draw_schedule, read_schedule
 from soak.shrink import shrink
 from standins.checkout import ROOT, CheckoutError, node_module
 
@@ -63,8 +63,10 @@
     if options.schedule is not None:
         return load_schedule(options.schedule)
     kinds = parse_kinds(options.kinds) if options.kinds else frozenset(FaultKind)
-    servers = servers_for(options.nodes)
-    return draw(options.seed, options.seconds, options.nodes, servers, kinds, faults_per_s=options.rate)
+    servers = server_count(options.nodes)
+    return draw_schedule(
+        options.seed, options.seconds, options.nodes, servers, kinds, faults_per_s=options.rate
+    )
 
 
 def load_schedule(path: Path) -> Schedule:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -14,8 +14,8 @@
 
 # Extra time to wait for an answer, so that an answer after its limit is reported as late and not as missing.
 LATE_ANSWER_S = 1.0
-BUDGETS_S = (0.2, DEADLINE_S)
-TINY_BUDGETS_S = (0.001, 0.04)
+BUDGET_RANGE_S = (0.2, DEADLINE_S)
+TINY_BUDGET_RANGE_S = (0.001, 0.04)
 TINY_BUDGET_FRACTION = 0.03
 DISCONNECT_AFTER_S = (0.001, 0.1)  # after sending, for clients that disconnect early
 EARLY_DISCONNECT_FRACTION = 0.5  # of requests, while clients disconnect early
@@ -75,7 +75,7 @@
         request_id = self._new_id()
         [request_class] = self._rng.choices(CLASSES, [each.traffic_fraction for each in CLASSES])
         is_tiny = self._rng.random() < TINY_BUDGET_FRACTION
-        budget_s = round(self._rng.uniform(*(TINY_BUDGETS_S if is_tiny else BUDGETS_S)), 3)
+        budget_s = round(self._rng.uniform(*(TINY_BUDGET_RANGE_S if is_tiny else BUDGET_RANGE_S)), 3)
         body = self._draw_body(request_class)
         data = render_request(request_id, request_class.name, f"{budget_s:.3f}", body, host="soak")
         return DrawnRequest(request_id, request_class, budget_s, data)
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -81,7 +81,7 @@
 class AgentMode(Enum):
     """How an agent responds; the value is the name of the fault without its prefix."""
 
-    GOOD = "good"
+    NORMAL = "normal"
     SILENT = "silent"
     DOWN = "down"
     SLOW = "slow"
@@ -120,7 +120,7 @@
         self._entries = dict(registry.entries)
         self._changed_versions = dict(registry.changed_versions)
         self._has_update = asyncio.Event()  # set, and replaced by a new event, at each update
-        self._mode = AgentMode.GOOD
+        self._mode = AgentMode.NORMAL
         self._reachable_from_s = 0.0
         self._pending: dict[str, PendingEntry] = {}
         self._answers = 0  # alternates the framing of answers
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -68,11 +68,11 @@
         elif fault.kind.value.startswith("proxy_"):
             server.proxy.set_mode(ProxyMode(fault.kind.value.removeprefix("proxy_")))
             await asyncio.sleep(fault.lasts_s)
-            server.proxy.set_mode(ProxyMode.GOOD)
+            server.proxy.set_mode(ProxyMode.NORMAL)
         else:
             server.set_mode(ServerMode(fault.kind.value.removeprefix("server_")))
             await asyncio.sleep(fault.lasts_s)
-            server.set_mode(ServerMode.GOOD)
+            server.set_mode(ServerMode.NORMAL)
 
     async def _drain(self, server: SimulatedServer, lasts_s: float) -> None:
         async with server.restarting:
@@ -99,7 +99,7 @@
                 agent.set_mode(AgentMode(fault.kind.value.removeprefix("agent_")))
         await asyncio.sleep(fault.lasts_s)
         for agent in node.agents:
-            agent.set_mode(AgentMode.GOOD)
+            agent.set_mode(AgentMode.NORMAL)
 
     # Clients
 
@@ -142,7 +142,7 @@
             case FaultKind.NODE_PAUSE:
                 await self._pause(node, fault.lasts_s)
             case FaultKind.NODE_RELOAD:
-                node.reload(move=True)
+                node.reload(change_agent=True)
             case FaultKind.NODE_RELOADS:
                 await self._reload_repeatedly(node, fault.lasts_s)
             case FaultKind.NODE_BAD_RELOAD:
@@ -159,7 +159,7 @@
 
     async def _reload_repeatedly(self, node: NodeProcess, lasts_s: float) -> None:
         for _ in range(int(lasts_s / RELOAD_INTERVAL_S) + 1):
-            node.reload(move=self._rng.random() < 0.5)
+            node.reload(change_agent=self._rng.random() < 0.5)
             await asyncio.sleep(RELOAD_INTERVAL_S)
 
     async def _stall_log(self, node: NodeProcess, lasts_s: float) -> None:
--- a/soak/faulty_clients.py
+++ b/soak/faulty_clients.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from soak.clients import BUDGETS_S, LATE_ANSWER_S, NO_ANSWER_ERRORS, Client, DrawnRequest, read_answer
+from soak.clients import BUDGET_RANGE_S, LATE_ANSWER_S, NO_ANSWER_ERRORS, Client, DrawnRequest, read_answer
 from soak.oracle import ANSWER_GRACE_S, INVALID_REQUEST_LIMIT_S, TIME_SLACK_S
 from soak.records import Rule
 from soak.settings import DEADLINE_S
@@ -29,7 +29,7 @@
         requests = [self._draw_request() for _ in range(FLOOD_REQUESTS)]
         writer.write(b"".join(request.data for request in requests))
         for request in requests:
-            self._record_sent(request, max(request.budget_s, BUDGETS_S[1]))
+            self._record_sent(request, max(request.budget_s, BUDGET_RANGE_S[1]))
         for request in requests:
             limit_s = DEADLINE_S + ANSWER_GRACE_S + LATE_ANSWER_S + self._oracle.slack_s
             if not await self._expect_answer(request, reader, limit_s, "one of many in one write"):
--- a/soak/node_process.py
+++ b/soak/node_process.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Launch:
+class LaunchOptions:
     """Start parameters that all nodes of a run share.
 
     Attributes:
@@ -52,16 +52,16 @@
 class NodeProcess:
     """One node, which may have several processes one after another."""
 
-    def __init__(self, oracle: Oracle, view: NodeView, agents: list[Agent], launch: Launch) -> None:
+    def __init__(self, oracle: Oracle, view: NodeView, agents: list[Agent], options: LaunchOptions) -> None:
         self.view = view
         self.agents = agents
         self.restarting = asyncio.Lock()
-        self.log = NodeLog(launch.folder / f"n{view.number}.log")
-        shim_path = launch.folder / f"n{view.number}.shim"
-        self.shim = ShimControl(shim_path) if launch.shim is not None else None
+        self.log = NodeLog(options.folder / f"n{view.number}.log")
+        shim_path = options.folder / f"n{view.number}.shim"
+        self.shim = ShimControl(shim_path) if options.shim is not None else None
         self._oracle = oracle
-        self._launch = launch
-        self._config_path = launch.folder / f"n{view.number}.json"
+        self._options = options
+        self._config_path = options.folder / f"n{view.number}.json"
         self._agent_index = 0  # index of the agent that the configuration names
         self._process: asyncio.subprocess.Process | None = None
         self._expects_end = False
@@ -80,7 +80,7 @@
             seed=os.urandom(8).hex(),
             limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS},
             known=agent.complete_list(),
-            settings=node_settings(self._launch.replicas, self.view.number),
+            settings=node_settings(self._options.replicas, self.view.number),
         )
 
     def _write_config(self, text: str) -> None:
@@ -92,9 +92,9 @@
     def _write_valid_config(self) -> None:
         self._write_config(json.dumps(self._config()))
 
-    def reload(self, *, move: bool) -> None:
-        """Write a new configuration and send SIGHUP; with `move` it names another agent."""
-        if move:
+    def reload(self, *, change_agent: bool) -> None:
+        """Write a new configuration and send SIGHUP; with `change_agent` it names another agent."""
+        if change_agent:
             self._agent_index = (self._agent_index + 1) % len(self.agents)
         self._write_valid_config()
         self._signal_reload()
@@ -132,8 +132,8 @@
         is_piped = self.view.number % 2 == 0
         with self.log.path.open("ab") as log:
             return await asyncio.create_subprocess_exec(
-                *node_command(self._launch.root),
-                cwd=self._launch.root,
+                *node_command(self._options.root),
+                cwd=self._options.root,
                 env=self._environment(),
                 stdout=asyncio.subprocess.DEVNULL,
                 stderr=asyncio.subprocess.PIPE if is_piped else log,
@@ -141,8 +141,8 @@
 
     def _environment(self) -> dict[str, str]:
         environment = dict(os.environ, NODE_CONFIG=str(self._config_path))
-        if self.shim is not None and self._launch.shim is not None:
-            environment |= self.shim.environment(self._launch.shim)
+        if self.shim is not None and self._options.shim is not None:
+            environment |= self.shim.environment(self._options.shim)
         return environment
 
     async def _wait_until_ready(self) -> None:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -25,7 +25,7 @@
 class ProxyMode(Enum):
     """How the proxy treats traffic; the value is the name of the fault without its prefix."""
 
-    GOOD = "good"
+    NORMAL = "normal"
     HOLD = "hold"
     SPLIT = "split"
     RESET = "reset"  # when a request is complete
@@ -40,7 +40,7 @@
         self.server = server
         self.group = group
         self.host = host
-        self.mode = ProxyMode.GOOD
+        self.mode = ProxyMode.NORMAL
         self.upstream_port = 0
         self.attempts: dict[int, AttemptRecord] = {}  # by the proxy's local port to the server
         self.connections: set[ProxyConnection] = set()
--- a/soak/run.py
+++ b/soak/run.py
@@ -19,7 +19,7 @@
 from soak.discovery import Agent, EndpointRegistry
 from soak.faults import FaultPlayer
 from soak.faulty_clients import FaultyClient
-from soak.node_process import Launch, NodeProcess
+from soak.node_process import LaunchOptions, NodeProcess
 from soak.oracle import Oracle
 from soak.records import Rule, Violation
 from soak.schedule import MAX_DURATION_S, FaultKind, Schedule
@@ -55,7 +55,7 @@
     worst_lag_s: float  # largest delay of the soak's own event loop
 
 
-def servers_for(nodes: int) -> int:
+def server_count(nodes: int) -> int:
     """Return the number of servers in a run with this number of nodes."""
     return max(MIN_SERVERS, nodes // 2)
 
@@ -63,7 +63,7 @@
 def server_capacity_per_s(nodes: int) -> float:
     """Return the requests per second that each warm server of a run can serve."""
     requests_per_s = nodes * CLIENTS_PER_NODE / (MEAN_GAP_S + EXPECTED_LATENCY_S)
-    return requests_per_s / servers_for(nodes) / UTILIZATION
+    return requests_per_s / server_count(nodes) / UTILIZATION
 
 
 def loopback_prefix() -> str:
@@ -89,7 +89,7 @@
         self._address_prefix = loopback_prefix()
         self.oracle = self._make_oracle()
         self._registry = EndpointRegistry()
-        self._servers = [self._make_server(number) for number in range(servers_for(schedule.nodes))]
+        self._servers = [self._make_server(number) for number in range(server_count(schedule.nodes))]
         self._nodes: list[NodeProcess] = []
         self._clients: list[list[PatientClient]] = []  # by node number
         self._tasks: set[asyncio.Task[object]] = set()
@@ -167,19 +167,19 @@
         self._has_shim = shim is not None
         for server in self._servers:
             await server.start()
-        launch = Launch(self._schedule.nodes, folder, self._root, shim)
+        options = LaunchOptions(self._schedule.nodes, folder, self._root, shim)
         for number in range(self._schedule.nodes):
-            self._nodes.append(await self._make_node(number, launch))
+            self._nodes.append(await self._make_node(number, options))
         await asyncio.gather(*(node.start() for node in self._nodes))
         self._spawn(self._measure_lag())
         self._start_clients()
 
-    async def _make_node(self, number: int, launch: Launch) -> NodeProcess:
+    async def _make_node(self, number: int, options: LaunchOptions) -> NodeProcess:
         agents = [Agent(self._registry, self.oracle, number) for _ in range(AGENTS_PER_NODE)]
         for agent in agents:
             await agent.start()
         view = NodeView(number, (f"{self._address_prefix}.{number + 1}", NODE_PORT))
-        return NodeProcess(self.oracle, view, agents, launch)
+        return NodeProcess(self.oracle, view, agents, options)
 
     def _start_clients(self) -> None:
         for node in self._nodes:
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -99,7 +99,7 @@
         return [fault for fault in self.faults if fault.at_s <= at_s <= fault.at_s + fault.lasts_s]
 
 
-def draw(
+def draw_schedule(
     seed: int,
     seconds: float,
     nodes: int,
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -31,7 +31,7 @@
 class ServerMode(Enum):
     """How a server answers; the value is the name of the fault without its prefix."""
 
-    GOOD = "good"
+    NORMAL = "normal"
     HANG = "hang"
     SLOW = "slow"
     ERRORS = "errors"
@@ -72,7 +72,7 @@
         self._rng = rng
         self._capacity_per_s = capacity_per_s
         self._busy_until_s = 0.0
-        self._mode = ServerMode.GOOD
+        self._mode = ServerMode.NORMAL
         self._may_answer = asyncio.Event()  # clear while the server hangs
         self._may_answer.set()
 
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -67,7 +67,7 @@
     assert figures.cpu_us_a_call > 0.0 and figures.peak_mb > 5.0
 
 
-def test_a_node_that_does_not_start_raises(tmp_path: Path) -> None:
+def test_measuring_a_node_that_does_not_start_raises(tmp_path: Path) -> None:
     with pytest.raises(FleetError, match="ended with status"):
         measure(Fleet(20, 40.0, 1.0, tmp_path))
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,9 +12,9 @@
 import pytest
 
 from soak.clients import NodeView
-from soak.node_process import Launch, NodeProcess
+from soak.node_process import LaunchOptions, NodeProcess
 from soak.oracle import Oracle
-from soak.schedule import Fault, FaultKind, Schedule, ScheduleError, draw, read_schedule
+from soak.schedule import Fault, FaultKind, Schedule, ScheduleError, draw_schedule, read_schedule
 from soak.shrink import shrink
 from tests.broken_nodes import BROKEN_NODES, ROOT, BrokenNode
 
@@ -98,9 +98,9 @@
 
 
 def test_the_same_seed_draws_the_same_schedule_and_json_restores_it() -> None:
-    drawn = [draw(7, 20.0, 6, 4, frozenset(FaultKind)) for _ in range(2)]
+    drawn = [draw_schedule(7, 20.0, 6, 4, frozenset(FaultKind)) for _ in range(2)]
     assert drawn[0] == drawn[1] == read_schedule(drawn[0].to_json())
-    assert drawn[0] != draw(8, 20.0, 6, 4, frozenset(FaultKind))
+    assert drawn[0] != draw_schedule(8, 20.0, 6, 4, frozenset(FaultKind))
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"faults": [{"kind": "nonsense"}]}'])
@@ -147,7 +147,9 @@
     async def test() -> None:
         monkeypatch.setattr("soak.node_process.KILL_AFTER_TERM_S", 0.05)
         oracle = Oracle(asyncio.get_running_loop().time, tuple, 50.0)
-        node = NodeProcess(oracle, NodeView(0, ("127.0.0.1", 1)), [], Launch(1, tmp_path, tmp_path, None))
+        node = NodeProcess(
+            oracle, NodeView(0, ("127.0.0.1", 1)), [], LaunchOptions(1, tmp_path, tmp_path, None)
+        )
         node._process = ProcessEndingAtKill()  # type: ignore[assignment]
         await node.stop()
         assert not oracle.violations
