--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -103,9 +103,7 @@
         self._rng = random.Random(case.seed)
         self._balancer = Balancer(_settings(case), case.seed)
         self._now_ms = BEGIN_MS
-        self._due: list[
-            tuple[float, int, DueEvent]
-        ] = []  # heap of events by time, then by order of scheduling
+        self._due: list[tuple[float, int, DueEvent]] = []  # heap of time, order of scheduling, event
         self._events_scheduled = 0
         self._requests = 0
         self._attempts: dict[str, int] = {}  # attempts made so far, by request
--- a/soak/slow_start_check.py
+++ b/soak/slow_start_check.py
@@ -9,7 +9,7 @@
 
 from soak import settings
 
-SMALL_COUNT = 30.0  # expected attempts in the window, below which the margin is wider
+SMALL_COUNT = 30.0  # number of allowed attempts in the window, below which the margin is wider
 # Margins for random variation: as many standard deviations, plus as many attempts.
 SMALL_COUNT_MARGIN = 3.0
 DEFAULT_MARGIN = 2.0
@@ -52,7 +52,7 @@
 
         Args:
             server: The server's name.
-            arrival: The attempt.
+            arrival: The attempt that has arrived.
             knows_start: Returns whether a node has been notified of a server's start at a time.
         """
         started_at_s = self._started_at_s.get(server)
