--- a/workspond/downstream/__init__.py
+++ b/workspond/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: the listener and the connections that it accepted."""
+"""The client-facing side: the listener and the client connections."""
--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -1,6 +1,6 @@
-"""A client's connection: requests in, exactly one response to each out, in the order of the requests.
+"""The protocol of a client connection, which writes one response to each request, in request order.
 
-Whatever a client sends, it affects only its own connection.
+Invalid input from a client affects only that client's connection.
 """
 
 from __future__ import annotations
@@ -21,75 +21,76 @@
 
 
 class AcceptedRequest(Protocol):
-    """A request that the node has accepted, as its client's connection sees it."""
+    """The part of an accepted request that a client connection uses."""
 
     def abandon(self, reason: str) -> None:
-        """Give the request up: nobody waits for its response any more."""
+        """Cancel the request, because its client no longer waits for the response."""
 
 
 class ResponseReceiver(Protocol):
-    """Whoever waits for the response to a request, as the node sees it."""
+    """The part of a client connection to which the node sends the response to a request."""
 
     def send_response(self, response: Response) -> None:
-        """Take the one response to the request."""
+        """Send the response to the request; called at most once for each request."""
 
     def has_disconnected(self) -> bool:
-        """Whether nobody waits for the response any more."""
+        """Return whether the client no longer waits for the response."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the frontend."""
+    """The part of the frontend that a client connection uses."""
 
     classes: dict[str, RequestClass]
     counters: EventCounters
 
     def accept(self, request: ClientRequest, receiver: ResponseReceiver) -> AcceptedRequest:
-        """Have the node accept a request.
+        """Pass a request to the node.
 
         Raises:
-            InvalidRequestError: The node can't accept it.
+            InvalidRequestError: The node can't accept the request.
         """
 
     def internal_path_response(self, path: bytes) -> Response:
-        """The response to a request for a path of the node itself."""
+        """Return the response to a request for one of the node's own paths."""
 
     def connection_opened(self, connection: ClientConnection) -> None:
         """Track a new connection."""
 
     def connection_state_changed(self, connection: ClientConnection, state: ConnectionState) -> None:
-        """Track what a connection waits for."""
+        """Record the state that a connection has entered."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Stop tracking a connection; it may be called twice."""
+        """Stop tracking a connection; a second call for the same connection does nothing."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection. Responses go out one at a time, in the order of the requests."""
+    """A client connection, on which one request at a time is processed, in the order of arrival."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        self.state: ConnectionState | None = None  # None: not open; set by the owner
+        self.state: ConnectionState | None = None  # set by the owner; None while the connection is not open
         self._owner = owner
         self._transport: asyncio.Transport
         self._socket: socket.socket
         self._pipeline = RequestPipeline(RequestParser(owner.classes, owner.internal_path_response))
         self._active_request: AcceptedRequest | None = None
-        self._awaits_response = False  # the node has a request, or is just being given one
-        self._has_accepted_request = False  # now or earlier
-        self._is_draining = False  # closes after the responses that are owed
-        self._is_input_ended = False  # the client has ended its sending, or nothing more is taken from it
-        self._is_writing_paused = False  # the client does not read
+        self._awaits_response = False  # also set while the owner's `accept` runs
+        self._has_accepted_request = False  # stays set once a request was accepted
+        self._is_draining = False  # the connection closes after its pending responses
+        self._is_input_ended = False  # the client has closed its sending side, or further input is ignored
+        self._is_writing_paused = False  # the client does not read its responses
         self._is_reading_paused = False
 
     # Callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to track the connection."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
+        """Store the transport and register the connection with its owner."""
+        # The cast is needed as uvloop's transports do not inherit from asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._socket = self._transport.get_extra_info("socket")
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Process the requests that are complete by now."""
+        """Parse received data and process the requests that it completes."""
         if self._is_input_ended or self._pipeline.is_finished:
             return
         self._pipeline.receive(data, self._socket)
@@ -97,29 +98,29 @@
         self._update_state()
 
     def eof_received(self) -> None:
-        """Close, once what was written has been sent.
+        """Abandon the client's requests, and let the transport close once its write buffer is flushed.
 
-        A client that ends its sending counts as disconnected: its requests are given up.
+        A client that closes its sending side counts as disconnected.
         """
         self._end_input()
         self._abandon_active_request(AbandonReason.CLIENT_DISCONNECTED)
         self._update_state()
 
     def pause_writing(self) -> None:
-        """Read nothing more from a client that does not read; the timeout of its state starts."""
+        """Stop reading from a client that does not read its responses, and start the flush timeout."""
         self._is_writing_paused = True
-        self._control_reading()
+        self._update_reading()
         self._update_state()
 
     def resume_writing(self) -> None:
-        """Go on with a client that has read what was sent to it."""
+        """Continue with queued messages once the client has read what was written."""
         self._is_writing_paused = False
         if not self._is_input_ended and not self._transport.is_closing():
             self._process_messages()
             self._update_state()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Stop tracking the connection, and give up its request."""
+        """Stop tracking the connection and abandon its active request."""
         self._is_input_ended = True
         self._pipeline.clear()
         self._owner.connection_closed(self)
@@ -136,7 +137,8 @@
             return ConnectionState.FLUSHING
         if self._pipeline.ends_with_rejection():
             return ConnectionState.REJECTING
-        # Also while the node has an earlier request: a client that stops midway is owed an error soon.
+        # Applies also while an earlier request is processed, so that a client that stops in the middle of a
+        # request gets an error soon.
         if self._has_accepted_request and self._pipeline.has_partial_message and not self._pipeline.unparsed:
             return ConnectionState.READING_REQUEST
         if self._awaits_response or self._pipeline.messages:
@@ -144,16 +146,16 @@
         return ConnectionState.IDLE if self._has_accepted_request else ConnectionState.AWAITING_FIRST_REQUEST
 
     def has_unread_data(self) -> bool:
-        """Whether the client has sent data, or its end, that the event loop has yet to read and will."""
+        """Return whether the socket holds data or an EOF that the event loop will still read."""
         is_reading = not (self._is_reading_paused or self._is_input_ended or self._transport.is_closing())
         return is_reading and is_readable(self._socket)
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed the connection or ended its sending, by the socket itself.
+        """Return whether the client has closed the connection or its sending side, and stop input if so.
 
-        Its requests are given up then. The event loop may know of it too late: timers, and what else was read
-        in the same turn of the loop, may run before the end is read; after a turn that took long, or where
-        the connection is not read from, long after it was received.
+        The socket itself is polled, as the event loop may notice the close too late: timers and data of other
+        sockets may be handled earlier in the same iteration of the loop. After a long iteration, or while
+        reading from this connection is paused, the close may have arrived long before.
         """
         if self._is_input_ended or self._transport.is_closing():
             return True
@@ -161,12 +163,12 @@
             return False
         self._end_input()
         if self._is_reading_paused:
-            self._transport.resume_reading()  # up to that end, which closes it once all is written
+            self._transport.resume_reading()  # up to the EOF, which closes the transport
         self._update_state()
         return True
 
     def _end_input(self) -> None:
-        """Take nothing more from the client, and drop what has not been started."""
+        """Ignore further input and drop the messages that wait in the pipeline."""
         self._is_draining = True
         self._is_input_ended = True
         self._pipeline.clear()
@@ -174,7 +176,7 @@
     # Requests and responses
 
     def _process_messages(self) -> None:
-        """Start what can be started, in order; read on where the queue has capacity for more."""
+        """Process queued messages until one awaits a response; then pause or resume reading."""
         pipeline = self._pipeline
         pipeline.parse()
         while pipeline.messages and not self._awaits_response and not self._is_output_blocked():
@@ -186,13 +188,13 @@
             else:
                 self._write(message)
             pipeline.parse()
-        self._control_reading()
+        self._update_reading()
 
     def _is_output_blocked(self) -> bool:
         return self._is_writing_paused or self._transport.is_closing()
 
     def _accept(self, request: ClientRequest) -> None:
-        """Have the node accept a request."""
+        """Pass a request to the node, and answer one that the node can't accept with an error."""
         self._awaits_response = True
         try:
             active_request = self._owner.accept(request, self)
@@ -201,11 +203,11 @@
             self._write(Response(400, str(error).encode()))
             return
         self._has_accepted_request = True
-        if self._awaits_response:  # it may have been answered at once
+        if self._awaits_response:  # False if the response was sent during `accept`
             self._active_request = active_request
 
     def send_response(self, response: Response) -> None:
-        """Write the node's response to the active request, and go on with the next one."""
+        """Write the response to the active request and continue with the next message."""
         self._active_request = None
         self._awaits_response = False
         if not self._transport.is_closing():
@@ -220,21 +222,21 @@
             self._close_when_written()
 
     def _has_more_input(self) -> bool:
-        """Whether another message has been read, has begun, or waits to be read."""
+        """Return whether a further message is queued, partly received or unread in the socket."""
         if self._pipeline.has_more():
             return True
         return not self._pipeline.is_finished and is_readable(self._socket)
 
     def _abandon_active_request(self, reason: AbandonReason) -> None:
-        """Tell the node that nobody waits for the response to the active request."""
+        """Cancel the active request, if there is one."""
         request = self._active_request
         self._active_request = None
         self._awaits_response = False
         if request is not None:
             request.abandon(reason)
 
-    def _control_reading(self) -> None:
-        """Read only from a client that reads its responses, and only once all that was read is parsed."""
+    def _update_reading(self) -> None:
+        """Pause reading while the client does not read its responses or received data is unparsed."""
         if self._is_input_ended or self._transport.is_closing():
             return
         pause = self._is_writing_paused or bool(self._pipeline.unparsed)
@@ -249,13 +251,13 @@
     # Closing
 
     def drain(self) -> None:
-        """Close after the responses that are owed, also those to unread requests; at once if none is."""
+        """Close after the pending responses, those to unread requests included; at once if there are none."""
         self._is_draining = True
         if not self._awaits_response and not self._has_more_input():
             self._close(CloseReason.NODE_STOPPING)
 
     def handle_timeout(self) -> None:
-        """End what the connection waits for: the timeout of its state has passed."""
+        """Fail or close the connection, because the timeout of its state has expired."""
         if self.state is ConnectionState.FLUSHING:
             self.abort(CloseReason.RESPONSE_NOT_READ)
         elif self.state is ConnectionState.REJECTING:
@@ -263,31 +265,32 @@
         elif self._pipeline.has_partial_message:
             self._pipeline.reject(Response(408, b"the request took too long to come"))
             self._fail_pending_requests()
-        elif not self.has_unread_data():  # closed over a request, the connection would be reset
+        elif not self.has_unread_data():  # closing a socket with unread data would reset the connection
             never_used = self.state is ConnectionState.AWAITING_FIRST_REQUEST
             self._close(CloseReason.NO_REQUEST if never_used else CloseReason.IDLE)
 
     def _fail_pending_requests(self) -> None:
-        """Answer the requests before a rejection with errors now, so that the rejection is not late."""
+        """Answer the requests that precede a rejection with errors, so that the rejection is sent in time."""
         response = Response(504, b"given up")
         if self._awaits_response:
             self._abandon_active_request(AbandonReason.REJECTION_DUE)
             self._write(response)
-        self._pipeline.answer_requests_with(response)
+        self._pipeline.replace_requests_with(response)
         self._process_messages()
         self._update_state()
 
     def _reject(self, rejection: ConnectionRejection) -> None:
-        """Write the error that ends the connection; all that preceded it has its response."""
+        """Write the error that ends the connection, once all earlier requests have their responses."""
         self._count_close(rejected_with(rejection.response.status))
         self._end_input()
         self._transport.write(render(rejection.response, close=True))
         self._close_when_written()
 
     def _close_when_written(self) -> None:
-        """Close so that the client can read what was written.
+        """Close the connection such that the client can still read what was written.
 
-        Closed over bytes that are unread, or still to come, the connection would be reset.
+        Closing a socket with unread data, or before the rest of a message arrives, would reset the connection
+        and lose the responses. In that case only the node's sending side is closed.
         """
         if self._pipeline.has_partial_message or is_readable(self._socket):
             self._is_input_ended = True
@@ -297,17 +300,18 @@
             self._transport.close()
 
     def _close(self, reason: CloseReason) -> None:
-        """Close a connection on which nothing is owed."""
+        """Close a connection that has no pending response."""
         self._count_close(reason)
         self._is_draining = True
         self._transport.close()
         self._update_state()
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once, whatever is owed."""
+        """Close at once, without the pending responses."""
         self._count_close(reason)
         self._is_input_ended = True
-        self._owner.connection_closed(self)  # now: its socket is as good as free
+        # Not left to `connection_lost`, which is called later, as the socket no longer counts as in use.
+        self._owner.connection_closed(self)
         self._transport.abort()
 
     def _count_close(self, reason: str) -> None:
--- a/workspond/downstream/close_reason.py
+++ b/workspond/downstream/close_reason.py
@@ -1,4 +1,4 @@
-"""Why the node closes a client's connection or gives up its request, as counters and the log name it."""
+"""Reasons for closing client connections and abandoning requests, as written to counters and the log."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CloseReason(StrEnum):
-    """Why the node closed a connection."""
+    """The reason why the node closed a client connection."""
 
     NODE_STOPPING = "node is stopping"
     TOO_MANY_CONNECTIONS = "too many connections"
@@ -16,12 +16,12 @@
 
 
 class AbandonReason(StrEnum):
-    """Why a request is given up before it has its response."""
+    """The reason why a request was abandoned before its response was sent."""
 
     CLIENT_DISCONNECTED = "client disconnected"
     REJECTION_DUE = "a rejection behind it was due"
 
 
 def rejected_with(status: int) -> str:
-    """The reason for closing a connection on which a message was rejected."""
+    """Return the reason for closing a connection after a rejection with this HTTP status."""
     return f"rejected with {status}"
--- a/workspond/downstream/frontend.py
+++ b/workspond/downstream/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side of a node: the listener and all connections that it accepted."""
+"""The client-facing side of a node: the listener and all client connections."""
 
 from __future__ import annotations
 
@@ -16,29 +16,27 @@
 from workspond.observability.counters import EventCounters
 from workspond.policy.settings import RequestClass
 
-SWEEP_INTERVAL_S = (
-    0.2  # timeouts of connections' states are checked so often; they are late by so much at most
-)
-MAX_EVICTION_CANDIDATES = 32  # connections polled for one to close, for each new one over the limit
+SWEEP_INTERVAL_S = 0.2  # also the longest delay after which an expired state timeout is noticed
+MAX_EVICTION_CANDIDATES = 32  # limits how many sockets are polled for each new connection over the limit
 READY_PATH = b"/-/ready"
 
 
 class RequestHandler(Protocol):
-    """Whoever serves the requests that are received."""
+    """The part of the node that serves client requests."""
 
     def accept(self, request: ClientRequest, receiver: ResponseReceiver) -> AcceptedRequest:
-        """Take a request, whose receiver is owed one response from now on.
+        """Accept a request and later send exactly one response to its receiver.
 
         Raises:
-            InvalidRequestError: The request can't be accepted; no response is owed.
+            InvalidRequestError: The request can't be accepted; no response will be sent.
         """
 
     def is_ready(self) -> bool:
-        """Whether requests can be served."""
+        """Return whether requests can be served."""
 
 
 class Frontend:
-    """The listener and all clients' connections."""
+    """Owns the listener and tracks all client connections."""
 
     def __init__(
         self,
@@ -47,7 +45,14 @@
         max_connections: int,
         counters: EventCounters,
     ) -> None:
-        """`max_connections` of clients may be open at once."""
+        """Create a frontend that does not listen yet.
+
+        Args:
+            classes: The request classes by name.
+            handler: Serves the requests.
+            max_connections: The maximum number of open client connections.
+            counters: Counts closed connections by reason.
+        """
         self.classes = classes
         self.counters = counters
         self.connections: ConnectionTable[ClientConnection] = ConnectionTable()
@@ -57,16 +62,16 @@
         self._loop: asyncio.AbstractEventLoop
         self._fails_ready_checks = False
         self._is_draining = False
-        self._became_empty = asyncio.Event()
+        self._all_closed = asyncio.Event()
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: Address) -> Address:
-        """Accept connections from now on.
+        """Start to accept connections.
 
         Returns:
-            The address, with the port that port 0 stands for.
+            The bound address; for port 0, with the port that the kernel has chosen.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: The socket could not be bound to the address.
         """
         self._loop = loop
         self._listener = Listener(loop, address, lambda: ClientConnection(self))
@@ -74,42 +79,42 @@
         return self._listener.address
 
     def connection_count(self) -> int:
-        """The connections of clients that are open, and those that are being opened."""
-        opening = self._listener.opening if self._listener is not None else 0
-        return len(self.connections) + opening
+        """Return the number of client connections that are open or being opened."""
+        opening_count = self._listener.opening_count if self._listener is not None else 0
+        return len(self.connections) + opening_count
 
-    # What connections need
+    # Called by client connections
 
     def accept(self, request: ClientRequest, receiver: ResponseReceiver) -> AcceptedRequest:
-        """Have the node accept a request.
+        """Pass a request to the node.
 
         Raises:
-            InvalidRequestError: The node can't accept it.
+            InvalidRequestError: The node can't accept the request.
         """
         return self._handler.accept(request, receiver)
 
     def internal_path_response(self, path: bytes) -> Response:
-        """The response to a request for a path of the node itself, such as a readiness check."""
+        """Return the response to a request for one of the node's own paths, such as a readiness check."""
         if path != READY_PATH:
             return Response(404, b"no such path")
         if self._handler.is_ready() and not self._fails_ready_checks:
             return Response(200, b"ready")
-        # Not 503, which would be a rejection: no request is rejected here, but the client may not know.
+        # Not 503: a client could take that for a request rejected because of load.
         return Response(500, b"not ready")
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Track a new connection; over the limit, one that is owed no response is closed for it."""
+        """Track a new connection; over the limit, close one that has no pending response."""
         self.connections.set_state(connection, ConnectionState.AWAITING_FIRST_REQUEST, self._loop.time())
         if self._is_draining:
             connection.drain()
         elif len(self.connections) > self._max_connections:
-            self._evict_one_for(connection)
+            self._evict_connection_for(connection)
 
-    def _evict_one_for(self, new: ClientConnection) -> None:
-        """Close a connection that is owed no response; the new one itself if there is none.
+    def _evict_connection_for(self, new: ClientConnection) -> None:
+        """Close a connection that has no pending response, or the new one if none can be closed.
 
-        One with unread data is spared, as that may be a request: many clients may have connected and sent
-        requests within one turn of the event loop.
+        Connections with unread data are kept, as the data may be a request: many clients may have connected
+        and sent requests within one iteration of the event loop.
         """
         candidates = itertools.islice(self.connections.eviction_candidates(), MAX_EVICTION_CANDIDATES)
         evictable = (
@@ -118,17 +123,17 @@
         next(evictable, new).abort(CloseReason.TOO_MANY_CONNECTIONS)
 
     def connection_state_changed(self, connection: ClientConnection, state: ConnectionState) -> None:
-        """Track what a connection waits for; the timeout starts again if that is something else now."""
+        """Record the state of a connection; its timeout restarts if the state has changed."""
         self.connections.set_state(connection, state, self._loop.time())
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Stop tracking a connection; it may be called twice."""
+        """Stop tracking a connection; a second call for the same connection does nothing."""
         self.connections.remove(connection)
         if not self.connection_count():
-            self._became_empty.set()
+            self._all_closed.set()
 
     def _sweep(self) -> None:
-        """End what has waited too long, now and periodically."""
+        """Handle expired state timeouts, now and every `SWEEP_INTERVAL_S` seconds."""
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         for connection in self.connections.timed_out(self._loop.time()):
             connection.handle_timeout()
@@ -136,16 +141,16 @@
     # Graceful shutdown
 
     def fail_ready_checks(self) -> None:
-        """Be ready no more, so that whoever checks it sends clients to other nodes."""
+        """Fail readiness checks from now on, so that clients are directed to other nodes."""
         self._fails_ready_checks = True
 
     async def close_listener(self) -> None:
-        """Accept no new connections; those that are open are served."""
+        """Stop accepting connections; open ones are still served."""
         if self._listener is not None:
             await self._listener.close()
 
     async def drain(self) -> None:
-        """Close idle connections, and the others after their responses; wait until none is open."""
+        """Close each connection once it has no pending response, and wait until all are closed."""
         self._is_draining = True
         for connection in self.connections.all():
             connection.drain()
@@ -154,10 +159,10 @@
     async def wait_until_empty(self) -> None:
         """Wait until no connection is open."""
         while self.connection_count():
-            self._became_empty.clear()
-            await self._became_empty.wait()
+            self._all_closed.clear()
+            await self._all_closed.wait()
 
     def abort(self) -> None:
-        """Close all connections at once, whatever is owed on them."""
+        """Close all connections at once, without their pending responses."""
         for connection in self.connections.all():
             connection.abort(CloseReason.NODE_STOPPING)
--- a/workspond/downstream/request_pipeline.py
+++ b/workspond/downstream/request_pipeline.py
@@ -1,7 +1,8 @@
-"""The requests that one connection has received and not yet started, in order.
+"""The queue of a client connection for requests that were received and wait to be processed.
 
-A client may send requests ahead (pipelining). Only a few are parsed before their turn: the rest stays
-unparsed here, and the connection reads no more meanwhile, so a flood of requests takes little memory.
+A client may send requests without waiting for earlier responses (pipelining). Only a few are parsed in
+advance. While unparsed data is left, the connection reads no more, which bounds the memory that a flood of
+requests takes.
 """
 
 from __future__ import annotations
@@ -15,21 +16,22 @@
 from workspond.http.request_parser import ConnectionRejection, ParsedMessage, RequestParser
 from workspond.http.response import Response
 
-MAX_QUEUED_MESSAGES = 8  # parsed before their turn; the rest stays unparsed, or unread
-PARSE_CHUNK_BYTES = 4096  # parsed at a time, so that the queue exceeds its limit by few messages
+MAX_QUEUED_MESSAGES = 8
+# Data is parsed in chunks, as all messages that a chunk completes are queued, even those over the limit.
+PARSE_CHUNK_BYTES = 4096
 
 
 class RequestPipeline:
-    """Parses the bytes of a connection and queues its messages until their turn.
+    """Parses the data that a connection receives and queues the messages.
 
-    The attributes are plain, as they are read several times for each request. The connection reads them, and
-    takes messages from the queue; only the pipeline sets them.
+    The connection reads the attributes and takes messages from the queue; only the pipeline sets the
+    attributes. They are not properties, as they are read several times for each request.
 
     Attributes:
         messages: The queue of parsed messages.
-        unparsed: Data that was read, and that the queue had no capacity for.
-        has_partial_message: A message has begun and is not complete.
-        is_finished: Nothing more is parsed: the client asked for a close, or a message was rejected.
+        unparsed: Received data that is not parsed yet, because the queue is full.
+        has_partial_message: Whether a message has begun and is not complete.
+        is_finished: Whether parsing has ended: the client asked for a close, or a message was rejected.
     """
 
     __slots__ = (
@@ -50,15 +52,15 @@
         self.is_finished = False
 
     def receive(self, data: bytes, connection: socket.socket) -> None:
-        """Take data that was read from a connection; `parse` parses it."""
+        """Store data that was read from a connection, for `parse`."""
         if not self.unparsed:
-            # It may have been unread for long: in the backlog, while the loop was busy, or while reading
-            # was paused.
+            # The data may have waited in the kernel for long: while the connection was in the backlog, the
+            # event loop was busy, or reading was paused.
             self._unparsed_received_at_ms = now_ms() - last_data_age_ms(connection)
         self.unparsed += data
 
     def parse(self) -> None:
-        """Parse the data that was read, as far as the queue has capacity."""
+        """Parse stored data until the queue is full."""
         while self.unparsed and len(self.messages) < MAX_QUEUED_MESSAGES and not self.is_finished:
             chunk = self.unparsed[:PARSE_CHUNK_BYTES]
             self.unparsed = self.unparsed[PARSE_CHUNK_BYTES:]
@@ -69,25 +71,25 @@
             self.unparsed = b""
 
     def has_more(self) -> bool:
-        """Whether another message has been received, at least in part."""
+        """Return whether another message has been received, at least in part."""
         return bool(self.messages or self.unparsed or self.has_partial_message)
 
     def ends_with_rejection(self) -> bool:
-        """Whether an error that ends the connection waits for its turn."""
+        """Return whether the last queued message is an error that ends the connection."""
         return bool(self.messages) and isinstance(self.messages[-1], ConnectionRejection)
 
     def reject(self, response: Response) -> None:
-        """Parse nothing more, and end the queue with an error that ends the connection."""
+        """Stop parsing, and queue an error that ends the connection."""
         self.is_finished = True
         self.messages.append(ConnectionRejection(response))
 
-    def answer_requests_with(self, response: Response) -> None:
-        """Replace each queued request by a response; responses and rejections stay in their places."""
+    def replace_requests_with(self, response: Response) -> None:
+        """Replace each queued request by a response; queued responses and rejections stay."""
         self.messages = deque(
             response if isinstance(message, ClientRequest) else message for message in self.messages
         )
 
     def clear(self) -> None:
-        """Drop what has been received and not started."""
+        """Drop the queued messages and the unparsed data."""
         self.messages.clear()
         self.unparsed = b""
--- a/workspond/downstream/socket_state.py
+++ b/workspond/downstream/socket_state.py
@@ -1,4 +1,4 @@
-"""Queries to the kernel about the TCP connection of a client."""
+"""Queries the kernel about the state of a client's TCP socket."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import socket
 import struct
 
-# From Linux's struct tcp_info: tcpi_last_data_recv, the time in ms since data was last received.
+# Reads tcpi_last_data_recv of Linux's struct tcp_info, the time in ms since data was last received.
 LAST_DATA_RECEIVED = struct.Struct("=52xI")
 
 
 def last_data_age_ms(connection: socket.socket) -> float:
-    """How long ago data was last received, in ms; 0 where the kernel does not say."""
+    """Return the time since data was last received, in ms; 0 if the kernel does not provide it."""
     try:
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
     except OSError:
@@ -23,17 +23,17 @@
 
 
 def is_readable(connection: socket.socket) -> bool:
-    """Whether unread data, or the end of the client's data, waits in the kernel."""
+    """Return whether the socket holds unread data or an unread EOF."""
     return _poll(connection, select.POLLIN)
 
 
 def has_client_closed(connection: socket.socket) -> bool:
-    """Whether the client has closed the connection or ended its sending, even behind unread data."""
+    """Return whether the client has closed the connection or its sending side, even behind unread data."""
     return _poll(connection, select.POLLRDHUP)
 
 
 def _poll(connection: socket.socket, events: int) -> bool:
-    """Poll the socket itself: the event loop hears of its events only once a turn."""
+    """Poll the socket directly, as the event loop polls only once in each iteration."""
     poll = select.poll()
     poll.register(connection.fileno(), events)
     return bool(poll.poll(0))
