--- a/tests/test_response_parser.py
+++ b/tests/test_response_parser.py
@@ -13,8 +13,8 @@
     header_names=frozenset((b"x-mark",)),
     max_head_bytes=200,
     max_body_bytes=10,
-    allows_two_framings=False,
-    ignores_surplus=True,
+    allows_repeated_framing=False,
+    ignores_trailing_data=True,
 )
 LENIENT = ResponseRules(max_message_bytes=300)
 BOTH = pytest.mark.parametrize("rules", [STRICT, LENIENT], ids=["strict", "lenient"])
@@ -152,7 +152,7 @@
 
 def test_two_framing_headers_are_malformed_unless_the_rules_allow_them() -> None:
     assert fed(STRICT, TWO_CODINGS)[1] is ParseState.MALFORMED
-    parser, state = fed(replace(STRICT, allows_two_framings=True), TWO_CODINGS)
+    parser, state = fed(replace(STRICT, allows_repeated_framing=True), TWO_CODINGS)
     assert state is ParseState.COMPLETE and parser.response().body == b"abcde"
 
 
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -42,7 +42,7 @@
     assert guard.check(replace(send, server_id=8)) is SendRefusal.NOT_IN_SERVICE
     assert guard.check(replace(send, send_until_ms=now_ms() - 1.0)) is SendRefusal.RETRY_WINDOW_OVER
     assert guard.check(replace(send, address=("127.0.0.1", 1))) is SendRefusal.ADDRESS_CHANGED
-    assert not guard.broken
+    assert not guard.broken_counts
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SUCCESS])
@@ -51,7 +51,7 @@
     assert guard.check(pending(history, "non_idempotent")) is SendRefusal.NON_IDEMPOTENT_RETRY
     assert guard.check(pending(history, "idempotent")) is None
     assert guard.check(pending(history_after(guard, Outcome.REJECTED), "non_idempotent")) is None
-    assert guard.broken == {SendRefusal.NON_IDEMPOTENT_RETRY: 1}
+    assert guard.broken_counts == {SendRefusal.NON_IDEMPOTENT_RETRY: 1}
 
 
 def test_two_attempts_at_once_and_too_many_are_counted(guard: SendGuard) -> None:
@@ -63,7 +63,7 @@
         history.record_write()
     history.record_end(may_have_run=True)
     assert guard.check(pending(history)) is SendRefusal.TOO_MANY_ATTEMPTS
-    assert guard.broken.total() == 2
+    assert guard.broken_counts.total() == 2
 
 
 def test_a_broken_invariant_is_logged_with_its_fields(
--- a/workspond/http/limits.py
+++ b/workspond/http/limits.py
@@ -1,6 +1,6 @@
-"""Size limits of messages, the same on every connection."""
+"""Size limits of HTTP messages, which apply to client connections and to server connections."""
 
 from __future__ import annotations
 
-MAX_BODY_BYTES = 64 * 1024  # set by the protocol
-MAX_HEAD_BYTES = 16 * 1024  # of a start line with its headers
+MAX_BODY_BYTES = 64 * 1024  # the protocol sets this limit
+MAX_HEAD_BYTES = 16 * 1024  # covers the start line and the headers
--- a/workspond/http/request.py
+++ b/workspond/http/request.py
@@ -1,4 +1,4 @@
-"""A request of a client, and the error for one that is not valid."""
+"""Client requests, and the error for an invalid request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,24 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A valid request as it was received, with what must be forwarded unchanged."""
+    """A validated client request.
+
+    The method, the target, the request id, the key, the content type and the body are forwarded to servers
+    as they were received.
+
+    Attributes:
+        method: The HTTP method.
+        target: The request target, which is the path with the query.
+        request_id: The value of the X-Call-Id header.
+        class_name: The name of the request class.
+        budget_ms: The time within which the client must be answered, counted from `received_at_ms`.
+        tenant: The value of the X-Caller header, or None without the header.
+        is_client_retry: Whether the client has sent this request before.
+        idempotency_key: The value of the Idempotency-Key header, or None without the header.
+        content_type: The value of the Content-Type header, or None without the header.
+        body: The complete body.
+        received_at_ms: The time, by `now_ms`, at which the last byte of the request was received.
+    """
 
     method: bytes
     target: bytes
@@ -19,8 +36,8 @@
     idempotency_key: bytes | None
     content_type: bytes | None
     body: bytes
-    received_at_ms: float  # when its last byte was received, by `now_ms`: its budget runs from there
+    received_at_ms: float
 
 
 class InvalidRequestError(Exception):
-    """A request that can't be accepted; the text tells the client why."""
+    """Raised for a request that can't be accepted; the text is the body of the error response."""
--- a/workspond/http/request_parser.py
+++ b/workspond/http/request_parser.py
@@ -1,7 +1,8 @@
-"""Splits the bytes of a client's connection into requests.
+"""Parses the data of a client connection into requests.
 
-What can't be served becomes an error response here, never a rejection for load (429, 503): only the policy
-gives those. After the first message that can't be parsed, nothing more of the connection is parsed.
+A message that can't be served is answered with an error, but never with a rejection because of load (429 or
+503), which only the policy decides. After the first message that can't be parsed, the connection is not
+parsed any further.
 """
 
 from __future__ import annotations
@@ -17,25 +18,29 @@
 from workspond.http.response import Response
 from workspond.policy.settings import RequestClass
 
-INTERNAL_PATH_PREFIX = b"/-/"  # the node itself answers requests for these paths
+INTERNAL_PATH_PREFIX = b"/-/"  # requests for these paths are answered by the node and not forwarded
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionRejection:
-    """The end of what can be parsed on a connection, with the error for its client."""
+    """An error response after which the connection is not parsed any further and is closed."""
 
     response: Response
 
 
-# A request to serve, a response to write, or an error after which the connection is closed.
+# A request to serve, a response to write, or an error response that ends the connection.
 ParsedMessage = ClientRequest | Response | ConnectionRejection
 
 
 class RequestParser:
-    """The parser of one connection: bytes in, complete messages out, in order.
+    """Parses the data of one connection into complete messages, in the order of arrival.
 
-    The methods `on_...` are the callbacks of httptools. An exception in one of them would count as malformed
-    HTTP.
+    The `on_...` methods are callbacks of httptools. An exception raised in a callback would be reported as
+    malformed HTTP.
+
+    Attributes:
+        has_partial_message: Whether a message has begun and is not complete.
+        is_finished: Whether parsing has ended: the client asked for a close, or a message was rejected.
     """
 
     def __init__(
@@ -43,32 +48,40 @@
         classes: dict[str, RequestClass],
         internal_path_response: Callable[[bytes], Response],
     ) -> None:
-        """`internal_path_response` gives the response to a request for one of the node's own paths."""
+        """Create the parser of a new connection.
+
+        Args:
+            classes: The request classes by name.
+            internal_path_response: Returns the response to a request for one of the node's own paths.
+        """
         self._classes = classes
         self._internal_path_response = internal_path_response
         self._parser = httptools.HttpRequestParser(self)
-        self._messages: list[ParsedMessage] = []  # completed by the bytes fed last
-        self.has_partial_message = False  # a message has begun and is not complete
-        self.is_finished = (
-            False  # parses nothing more: the client asked for a close, or a message was rejected
-        )
-        self._has_completed_message = False  # by the bytes fed last
-        self._received_at_ms = 0.0  # when these were received
+        self.has_partial_message = False
+        self.is_finished = False
+        # These describe the data of the last call of `feed`.
+        self._messages: list[ParsedMessage] = []
+        self._has_completed_message = False
+        self._received_at_ms = 0.0
         self._start_message()
 
     def _start_message(self) -> None:
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
-        self._head_bytes = 0  # fed so far, if the head is not complete
-        self._section_bytes = 0  # of the headers so far; then of the body
+        self._head_bytes = 0  # counts the bytes fed while the head is incomplete
+        self._section_bytes = 0  # counts the parsed bytes of the headers, and then those of the body
         self._is_head_complete = False
 
     def feed(self, data: bytes, received_at_ms: float) -> list[ParsedMessage]:
-        """Parse data that was received at `received_at_ms`.
+        """Parse received data.
+
+        Args:
+            data: The received data.
+            received_at_ms: The time, by `now_ms`, at which the data was received.
 
         Returns:
-            The messages that this data completed.
+            The messages that this data completes.
         """
         self._messages = []
         self._received_at_ms = received_at_ms
@@ -85,7 +98,10 @@
         return self._messages
 
     def _check_unfinished_head(self, fed_bytes: int) -> None:
-        """Limit the head by what was fed: httptools reports a header only once it is complete."""
+        """Check the size of an incomplete head.
+
+        The bytes fed are counted, as httptools reports a header only once it is complete.
+        """
         if self._is_head_complete or self._has_completed_message:
             return
         self._head_bytes += fed_bytes
@@ -93,22 +109,22 @@
             self._reject(431, "headers too large")
 
     def _reject(self, status: int, reason: str) -> None:
-        """End the messages with an error; only the first error counts."""
+        """Queue an error response and stop parsing; does nothing if parsing has ended already."""
         if not self.is_finished:
             self.is_finished = True
             self._messages.append(ConnectionRejection(Response(status, reason.encode())))
 
     def on_message_begin(self) -> None:
-        """Start a message."""
+        """Start a new message."""
         self.has_partial_message = True
         self._start_message()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header, or a trailer of a chunked body."""
+        """Store a header, or a trailer of a chunked body."""
         name = name.lower()
         self._section_bytes += len(name) + len(value)
         if self._section_bytes > MAX_HEAD_BYTES:
@@ -119,7 +135,7 @@
             self._headers[name] = value.strip()
 
     def on_headers_complete(self) -> None:
-        """Check the head: its size, its framing and the length that it announces."""
+        """Check the length of the target, the framing and the announced body length."""
         self._is_head_complete = True
         self._section_bytes = 0
         if len(self._target) > MAX_HEAD_BYTES:
@@ -133,7 +149,7 @@
             self._reject(413, "body over 64 KiB")
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._section_bytes += len(body)
         if self._section_bytes > MAX_BODY_BYTES:
             self._reject(413, "body over 64 KiB")
@@ -141,7 +157,7 @@
             self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Add the message to those that are returned."""
+        """Add the completed message to the result of `feed`."""
         if self.is_finished:
             return
         self.has_partial_message = False
@@ -154,7 +170,7 @@
             self.is_finished = not self._parser.should_keep_alive()
 
     def _complete_message(self) -> ClientRequest | Response:
-        """The request, or the response to one for a path of the node itself."""
+        """Return the validated request, or the response to a request for one of the node's own paths."""
         path = self._target.partition(b"?")[0]
         if path.startswith(INTERNAL_PATH_PREFIX):
             return self._internal_path_response(path)
--- a/workspond/http/request_validator.py
+++ b/workspond/http/request_validator.py
@@ -1,7 +1,8 @@
-"""Checks requests of clients once, here, before any other part of the node relies on them.
+"""Validates client requests, so that no other module has to check them again.
 
-Ids, keys and targets are forwarded to servers as they were received. So nothing passes that a server could
-read in another way than this node did: no header twice, no length beside chunks, no unusual characters.
+Request ids, keys and targets are forwarded to servers as they were received. Therefore nothing is accepted
+that a server could interpret differently from this node: no repeated headers, no Content-Length together with
+chunks, and no unusual characters.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from workspond.http.request import ClientRequest, InvalidRequestError
 from workspond.policy.settings import Idempotency, RequestClass
 
-# Each may stand in a request once: of two values, a server might use the other one.
+# These headers must not be repeated, as a server might use another of the values than this node.
 SINGLE_VALUE_HEADERS = frozenset(
     (
         b"host",
@@ -26,17 +27,19 @@
         b"x-again",
     )
 )
-TOKEN_PATTERN = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")  # ids and keys: they are forwarded in headers
-SECONDS_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # the protocol's decimals: no signs, no 1_0
+# Matches request ids and idempotency keys that are safe to forward in headers.
+TOKEN_PATTERN = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")
+# Matches the decimal numbers of the protocol. Python's float() would also accept signs and "1_0".
+SECONDS_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")
 
-Headers = dict[bytes, bytes]  # by name in lower case
+Headers = dict[bytes, bytes]  # values by lower-case name
 
 
 def check_framing(headers: Headers, http_version: str) -> None:
-    """Check that a head states where its body ends: else another request may be hidden in it.
+    """Check that the headers state unambiguously where the body ends, which prevents request smuggling.
 
     Raises:
-        InvalidRequestError: The end of the body is ambiguous, or its coding is not supported.
+        InvalidRequestError: The end of the body is ambiguous, or the transfer encoding is not supported.
     """
     transfer_encoding = headers.get(b"transfer-encoding")
     if transfer_encoding is None:
@@ -56,10 +59,10 @@
     body: bytes,
     received_at_ms: float,
 ) -> ClientRequest:
-    """Check a complete request and return it; the first check that fails decides the error.
+    """Validate a complete request and return it; the first failed check determines the error.
 
     Raises:
-        InvalidRequestError: The request is not valid; the text says why.
+        InvalidRequestError: The request is invalid; the text says why.
     """
     class_name, tenant = _decode_names(target, headers)
     request_class = classes.get(class_name)
@@ -74,7 +77,8 @@
         target=target,
         request_id=request_id,
         class_name=request_class.name,
-        # No client waits beyond its class's deadline: with a longer budget the request would stay open.
+        # Clients do not wait beyond the deadline of the class, so a longer budget would only keep the request
+        # open.
         budget_ms=min(budget_ms, request_class.deadline_ms),
         tenant=tenant,
         is_client_retry=headers.get(b"x-again") == b"1",
@@ -86,7 +90,7 @@
 
 
 def _decode_names(target: bytes, headers: Headers) -> tuple[str, str | None]:
-    """The name of the class, which is the first segment of the path, and the tenant."""
+    """Return the class name, which is the first segment of the path, and the tenant."""
     try:
         path = target.partition(b"?")[0].decode("ascii")
         tenant = headers.get(b"x-caller", b"").decode("utf-8") or None
@@ -113,7 +117,7 @@
 
 
 def _read_idempotency_key(headers: Headers, request_class: RequestClass) -> bytes | None:
-    """The key of a request; without it, servers could not recognize the repeats of a keyed request."""
+    """Return the key, which a keyed request must have so that servers can recognize its retries."""
     key = headers.get(b"idempotency-key")
     needs_key = request_class.idempotency is Idempotency.KEYED
     if (key is not None) != needs_key or (key and not TOKEN_PATTERN.fullmatch(key)):
--- a/workspond/http/response.py
+++ b/workspond/http/response.py
@@ -1,4 +1,4 @@
-"""The response to a client, and its form on the connection."""
+"""Responses to clients and how they are rendered."""
 
 from __future__ import annotations
 
@@ -8,7 +8,14 @@
 
 @dataclass(slots=True)
 class Response:
-    """A response to a client."""
+    """A response to a client.
+
+    Attributes:
+        status: The HTTP status.
+        body: The complete body.
+        content_type: The value of the Content-Type header; None to omit the header.
+        retry_after_s: The value of the Retry-After header in seconds; None to omit the header.
+    """
 
     status: int
     body: bytes = b""
@@ -17,7 +24,12 @@
 
 
 def render(response: Response, *, close: bool) -> bytes:
-    """A response in one piece, to be written at once; `close`: it is the last of its connection."""
+    """Render a response as one string of bytes, so that a single write can send it.
+
+    Args:
+        response: The response.
+        close: Whether the connection closes after this response.
+    """
     lines = [f"HTTP/1.1 {response.status} {HTTPStatus(response.status).phrase}\r\n"]
     if response.content_type is not None:
         lines.append(f"Content-Type: {response.content_type.decode('latin-1')}\r\n")
--- a/workspond/http/response_parser.py
+++ b/workspond/http/response_parser.py
@@ -1,7 +1,7 @@
-"""Parsing of HTTP/1.1 responses, as servers and the discovery agent send them.
+"""Parses HTTP/1.1 responses of servers and of the discovery agent.
 
-The parser reads one response at a time. It follows the framing of the body, skips interim (1xx) responses and
-keeps to size limits; what differs between the peers is in `ResponseRules`.
+The parser reads one response at a time. It handles body framing, skips interim (1xx) responses and enforces
+size limits. `ResponseRules` holds what differs between servers and the agent.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 import httptools
 
-# Headers that tell where a body ends. Without one the response ends with its connection.
+# The headers that state where a body ends. Without them the body ends when the connection is closed.
 FRAMING_HEADERS = frozenset((b"content-length", b"transfer-encoding"))
 
 
 class ParseState(Enum):
-    """How far a response has been read."""
+    """The progress or failure of parsing a response."""
 
     INCOMPLETE = "incomplete"
     COMPLETE = "complete"
@@ -27,31 +27,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseRules:
-    """What a response may be; a limit of infinity means that there is none.
+    """The limits and options of a response parser; a limit of infinity means no limit.
 
     Attributes:
-        header_names: The headers to keep, in lower case; no framing headers.
-        max_head_bytes: The limit of what is read before the body begins, interim responses included.
-        max_body_bytes: The limit of the body. It holds for the announced length too.
-        max_message_bytes: The limit of the whole response, as long as it is incomplete.
-        allows_two_framings: Whether more than one header may tell where the body ends. Content-Length beside
-            Transfer-Encoding, and two Content-Lengths, are malformed in any case.
-        ignores_surplus: Whether what follows a complete response in the same read is ignored, and only makes
-            its connection unusable for another request. Otherwise it is parsed as part of the response: it
-            may make it malformed, and the body of a further response is added to the body.
+        header_names: The names of the headers to keep, in lower case and without framing headers.
+        max_head_bytes: The limit on the bytes read before the body begins, interim responses included.
+        max_body_bytes: The limit on the body, and on the announced body length.
+        max_message_bytes: The limit on the bytes read of a response that is still incomplete.
+        allows_repeated_framing: Whether more than one framing header is allowed. Content-Length together with
+            Transfer-Encoding and repeated Content-Length headers are malformed in any case.
+        ignores_trailing_data: Whether data that follows a complete response in the same read is ignored,
+            except that the connection can't be reused. Otherwise the data is parsed as part of the response:
+            it may make the response malformed, and the body of a further response is appended to the body.
     """
 
     header_names: frozenset[bytes] = frozenset()
     max_head_bytes: float = math.inf
     max_body_bytes: float = math.inf
     max_message_bytes: float = math.inf
-    allows_two_framings: bool = True
-    ignores_surplus: bool = False
+    allows_repeated_framing: bool = True
+    ignores_trailing_data: bool = False
 
 
 @dataclass(slots=True)
 class ParsedResponse:
-    """A complete response; of a header that came more than once the last value is kept."""
+    """A complete response; for a repeated header, the last value is kept."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -59,10 +59,13 @@
 
 
 class ResponseParser:
-    """Reads the responses of one connection, one after the other.
+    """Parses the responses of one connection, one after the other.
 
-    `start` begins a response and has to be called before its first byte is fed. The same object serves all
-    responses of a connection, as an object for each would only be freed by the garbage collector.
+    `start` must be called before the first byte of a response is fed. One object parses all responses of a
+    connection, as an object for each response would only be freed by the garbage collector.
+
+    Attributes:
+        can_keep_alive: Whether the connection can be reused after the response.
     """
 
     __slots__ = (
@@ -87,7 +90,7 @@
         self.start()
 
     def start(self) -> None:
-        """Begin a response; whatever was fed before is forgotten."""
+        """Start a new response and discard the state of the previous one."""
         self._parser = httptools.HttpResponseParser(self)
         self._head_bytes = 0
         self._body_bytes = 0
@@ -98,12 +101,12 @@
         self._framing_count = 0
         self._in_body = False
         self._is_complete = False
-        self._ignores_rest = False  # the response is complete, and what follows does not count
+        self._ignores_rest = False  # the response is complete, and data that follows is ignored
         self._failure: ParseState | None = None
         self.can_keep_alive = False
 
     def feed(self, data: bytes) -> ParseState:
-        """Parse what has been read; returns the state of the response after it."""
+        """Parse a part of the response and return the new state."""
         self._message_bytes += len(data)
         if not self._in_body:
             self._head_bytes += len(data)
@@ -112,7 +115,7 @@
             return self._failure
         if self._is_complete:
             return ParseState.COMPLETE
-        # The parser reports a header once it is complete: an endless one shows only in the bytes fed.
+        # httptools reports a header only once it is complete, so only the bytes fed reveal an endless header.
         if not self._in_body and self._head_bytes > self._rules.max_head_bytes:
             return ParseState.TOO_LARGE
         if self._message_bytes > self._rules.max_message_bytes:
@@ -120,9 +123,9 @@
         return ParseState.INCOMPLETE
 
     def feed_eof(self) -> bool:
-        """Note the orderly end of the connection; returns whether just this completes the response.
+        """Handle an orderly close of the connection; return whether the close completes the response.
 
-        It does if the body has begun and no header tells where it ends.
+        It does if the body has begun and no framing header states where the body ends.
         """
         if not self._in_body or self._is_complete or self._framing_count:
             return False
@@ -131,8 +134,8 @@
         return True
 
     def response(self) -> ParsedResponse:
-        """The response, once it is complete."""
-        # Where surplus data counts, the status is that of the status line read last.
+        """Return the response, which must be complete."""
+        # If trailing data is parsed, the status is that of the status line parsed last.
         status = self._status if self._ignores_rest else self._parser.get_status_code()
         return ParsedResponse(status, self._headers, b"".join(self._body_parts))
 
@@ -146,15 +149,15 @@
             if not self._ignores_rest:
                 self._failure = ParseState.MALFORMED
 
-    # Callbacks of httptools. An exception in one of them ends `feed_data` with an `HttpParserError`.
+    # Callbacks of httptools. An exception raised in a callback makes `feed_data` raise an `HttpParserError`.
 
     def on_message_begin(self) -> None:
-        """A response begins."""
-        if self._ignores_rest:  # a second response, which belongs to no request
+        """Note that a further response has begun, if one is complete already."""
+        if self._ignores_rest:  # the second response belongs to no request
             self.can_keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer after a chunked body, is complete."""
+        """Store a header, or a trailer of a chunked body."""
         if self._ignores_rest:
             return
         name = name.lower()
@@ -170,17 +173,17 @@
             self._failure = ParseState.TOO_LARGE
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Store the status and check the framing."""
         if self._ignores_rest:
             return
         self._status = self._parser.get_status_code()
         self._in_body = True
-        # Of two framings one is wrong, and nothing tells which.
-        if self._framing_count > 1 and not self._rules.allows_two_framings:
+        # With several framing headers, it is unknown which one is right.
+        if self._framing_count > 1 and not self._rules.allows_repeated_framing:
             self._failure = ParseState.MALFORMED
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body, without its chunk framing."""
+        """Append a part of the body, from which the chunk framing is removed."""
         if self._ignores_rest:
             return
         self._body_bytes += len(body)
@@ -190,18 +193,18 @@
             self._body_parts.clear()
 
     def on_message_complete(self) -> None:
-        """A response, interim or final, is complete."""
+        """Handle the end of an interim or final response."""
         if self._ignores_rest:
             return
         if 100 <= self._status < 200:
             self._await_final_response()
             return
         self._is_complete = True
-        self._ignores_rest = self._rules.ignores_surplus
+        self._ignores_rest = self._rules.ignores_trailing_data
         self.can_keep_alive = self._parser.should_keep_alive()
 
     def _await_final_response(self) -> None:
-        """Forget an interim response; its size counts toward the limits all the same."""
+        """Discard an interim response, whose size still counts toward the limits."""
         self._in_body = False
         self._framing_count = 0
         self._headers.clear()
--- a/workspond/upstream/__init__.py
+++ b/workspond/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the servers: attempts, the connections that carry them, and the pool of connections."""
+"""The server-facing side: attempts, the connections that they use and the connection pool."""
--- a/workspond/upstream/attempt.py
+++ b/workspond/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one server, and what it ends with."""
+"""An attempt to have one server answer a request, and the result of the attempt."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(slots=True)
 class ServerResponse:
-    """What a server answered.
+    """The response of a server.
 
     Attributes:
         status: The HTTP status.
-        body: The whole body.
-        content_type: The value of the Content-Type header, as it came.
-        load_report: The server's load report, if one came that could be read.
+        body: The complete body.
+        content_type: The value of the Content-Type header as received, or None without the header.
+        load_report: The figures of the server's load report by name, or None without a valid report.
     """
 
     status: int
@@ -27,37 +27,37 @@
 
 
 class AttemptHandler(Protocol):
-    """What the connection pool needs of whoever has an attempt made."""
+    """The callbacks through which the connection pool runs an attempt."""
 
     def may_send(self) -> bool:
-        """Whether the request may still be written; called just before it would be."""
+        """Return whether the request may still be written; called when a new connection has opened."""
 
     def render_request(self) -> bytes:
-        """The request's bytes, as they are to be written now."""
+        """Return the bytes of the request; called just before they are written."""
 
     def attempt_ended(self, outcome: Outcome, response: ServerResponse | None) -> None:
-        """The attempt has ended; called exactly once."""
+        """Handle the end of the attempt; called exactly once."""
 
 
 class AttemptConnection(Protocol):
-    """What an attempt is made with: a connection that is being opened, then the open connection."""
+    """The connection that an attempt uses, which may still be opening."""
 
     def close(self) -> None:
-        """Stop, and close the connection."""
+        """Close the connection, or stop opening it."""
 
     def has_unread_data(self) -> bool:
-        """Whether bytes, or the end of the connection, have arrived that the event loop has not read."""
+        """Return whether the socket holds data or an EOF that the event loop has not read."""
 
 
 class Attempt:
-    """One attempt of a request at one server; reports its outcome exactly once.
+    """An attempt of a request at one server, which reports its outcome exactly once.
 
     Attributes:
-        handler: Who is told of the outcome.
-        connection: What the attempt is made with; None before it has begun and after its end.
+        handler: Receives the outcome.
+        connection: The connection in use; None before the attempt has begun and after it has ended.
         is_over: Whether the outcome has been reported.
-        is_written: Whether the whole request has been handed to the kernel.
-        is_timeout_extended: Whether the timeout has passed while a response was unread.
+        is_written: Whether the complete request has been handed to the kernel.
+        is_timeout_extended: Whether the timeout has expired once while response data was unread.
     """
 
     __slots__ = (
@@ -78,15 +78,15 @@
         self._timeout_timer: asyncio.TimerHandle | None = None
 
     def set_timeout_timer(self, timer: asyncio.TimerHandle) -> None:
-        """Note the timer that is to be cancelled at the end."""
+        """Set the timer that is cancelled when the attempt ends."""
         self._timeout_timer = timer
 
     def has_unread_data(self) -> bool:
-        """Whether something of a response waits to be read."""
+        """Return whether the attempt's socket holds data or an EOF that the event loop has not read."""
         return self.connection is not None and self.connection.has_unread_data()
 
     def end(self, outcome: Outcome, response: ServerResponse | None = None) -> None:
-        """Report the outcome, unless one was reported before."""
+        """Report the outcome; does nothing if one was reported before."""
         if self.is_over:
             return
         self.is_over = True
@@ -96,7 +96,7 @@
         self.handler.attempt_ended(outcome, response)
 
     def abort(self, outcome: Outcome) -> None:
-        """Stop waiting. The connection is closed, as only that tells the server."""
+        """End the attempt and close its connection, which is the only way to cancel it at the server."""
         if self.is_over:
             return
         if self.connection is not None:
@@ -104,6 +104,6 @@
         self.end(outcome)
 
     def time_out(self) -> None:
-        """Abort the attempt as its time is up."""
-        # A server waits for the last byte, so before that is written it can't have begun.
+        """Abort the attempt because its timeout has expired."""
+        # A server starts only after the last byte of a request, so an incomplete request can't have run.
         self.abort(Outcome.TIMEOUT if self.is_written else Outcome.CONNECT_FAILED)
--- a/workspond/upstream/connection.py
+++ b/workspond/upstream/connection.py
@@ -1,7 +1,8 @@
-"""A connection to a server: it carries attempts, each of which ends in exactly one outcome.
+"""A connection to a server, on which attempts are sent one at a time, each with exactly one outcome.
 
-What an outcome says about whether the attempt ran decides whether the request may be sent again. The line
-between "never ran" and "may have run" is drawn at the last byte written, as the protocol page draws it.
+The outcome says whether the server may have run the request, which decides whether the request may be sent
+again. As the protocol defines it, a request may have run once its last byte has been written, and can't have
+run before.
 """
 
 from __future__ import annotations
@@ -19,42 +20,42 @@
 from workspond.upstream.load_report import parse_load_report
 
 REUSE_DELAY_MS = 10.0
-"""How long a connection rests after a response before it is used again.
+"""The time after a response before which a connection is not reused.
 
-A second response may come some milliseconds after the first (0.8 to 3.6 ms were seen). Nothing in it tells
-which request it answers, so it would be taken for the response to the next request on the connection.
+A second response to a request may arrive some milliseconds after the first (0.8 to 3.6 ms were seen). As
+responses do not identify their request, it would be taken for the response to the next request.
 """
 
 REJECTION_STATUSES = (503, 504)
-"""The statuses with which a server may say, by `X-Rejected: 1`, that it has not begun the request."""
+"""The statuses that, together with `X-Rejected: 1`, mean that the server has not run the request."""
 
 RESPONSE_RULES = ResponseRules(
     header_names=frozenset((b"content-type", b"x-rejected", b"x-load-report")),
     max_head_bytes=MAX_HEAD_BYTES,
     max_body_bytes=MAX_BODY_BYTES,
-    allows_two_framings=False,
-    ignores_surplus=True,
+    allows_repeated_framing=False,
+    ignores_trailing_data=True,
 )
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that it belongs to."""
+    """The part of the connection pool that a connection uses."""
 
-    def put_back(self, connection: ServerConnection) -> None:
-        """Keep a connection that carries no attempt for the next one."""
+    def release(self, connection: ServerConnection) -> None:
+        """Return a connection without an attempt to the idle connections."""
 
     def remove(self, connection: ServerConnection) -> None:
-        """Remove a connection that is closed, or is about to be."""
+        """Remove a connection that is closed or about to be closed."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection to a server, which carries one attempt at a time.
+    """A connection to a server, used by one attempt at a time.
 
     Attributes:
-        server_id: The server that it leads to.
-        address: The address that it was opened to.
-        idle_since_ms: When it was last put back to the pool, by `now_ms`.
-        reusable_at_ms: No attempt may be sent on it before this moment.
+        server_id: The id of the server.
+        address: The address to which the connection was opened.
+        idle_since_ms: The time, by `now_ms`, at which the connection last became idle.
+        reusable_at_ms: The time, by `now_ms`, before which no attempt may be sent on the connection.
     """
 
     def __init__(self, owner: ConnectionOwner, server_id: int, address: Address) -> None:
@@ -72,26 +73,27 @@
     # Callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's do not inherit from it
+        """Store the transport of the opened connection."""
+        # The cast is needed as uvloop's transports do not inherit from asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._is_open = True
-        # Nothing may wait in the transport unnoticed: with a limit of 0 a write goes out at once, and
-        # `pause_writing` is called if a part of it did not fit.
+        # With a limit of 0 a write goes to the kernel at once, and `pause_writing` is called if a part of it
+        # stays in the transport's buffer.
         self._transport.set_write_buffer_limits(0)
 
     def pause_writing(self) -> None:
-        """A part of the request waits to be written."""
+        """Note that a part of the request is still in the transport's buffer."""
         self._is_writing_paused = True
 
     def resume_writing(self) -> None:
-        """The whole request has been written."""
+        """Note that the complete request has been handed to the kernel."""
         self._is_writing_paused = False
         if self._attempt is not None:
             self._attempt.is_written = True
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of the response."""
-        if self._attempt is None:  # no request is open: the next response might be that to another one
+        """Parse a part of the response; close the connection if no request awaits one."""
+        if self._attempt is None:  # an unexpected response could be taken for that to the next request
             self.close()
             return
         match self._parser.feed(data):
@@ -101,42 +103,42 @@
                 self._end_attempt(Outcome.ERROR, can_reuse=False)
 
     def eof_received(self) -> None:
-        """Take the server's orderly end, which completes a response with no length.
+        """Handle an orderly close by the server, which completes a response without a length.
 
-        `connection_lost` follows and reports what is not complete.
+        `connection_lost` is called next and ends an attempt whose response is incomplete.
         """
         if self._attempt is not None and self._parser.feed_eof():
             self._complete_attempt()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """End the attempt that it carried, if any."""
+        """Remove the connection from the pool and end its attempt, if there is one."""
         self._is_open = False
         self._owner.remove(self)
         if self._attempt is not None:
             outcome = Outcome.RESET if self._attempt.is_written else Outcome.CONNECT_FAILED
             self._end_attempt(outcome, can_reuse=False)
 
-    # The pool's side
+    # Called by the pool
 
     def close(self) -> None:
-        """Close it now, whatever it carries; an attempt on it is not told."""
+        """Close the connection at once, without reporting an outcome for its attempt."""
         self._owner.remove(self)
         self._attempt = None
         if self._is_open:
             self._transport.abort()
 
     def is_usable(self) -> bool:
-        """Whether a request may be written: it is open as far as known, and nothing is unread.
+        """Return whether a request may be written: the connection is open and nothing is unread.
 
-        The event loop reads only once a turn. If an end or a stray byte has arrived since, a request written
-        now would end in a reset and might have run, so the socket itself is polled.
+        The socket itself is polled, as the event loop reads only once in each iteration. If an EOF or a stray
+        byte has arrived since, a request written now would end in a reset, and it might have run.
         """
         if not self._is_open or self._transport.is_closing():
             return False
         return not self._is_readable()
 
     def has_unread_data(self) -> bool:
-        """Whether bytes, or the end of the connection, have arrived that the event loop has not read."""
+        """Return whether the socket holds data or an EOF that the event loop has not read."""
         return self._is_open and not self._transport.is_closing() and self._is_readable()
 
     def _is_readable(self) -> bool:
@@ -145,7 +147,7 @@
         return bool(poll.poll(0))
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt's request and wait for its response."""
+        """Write the request of an attempt and start to wait for its response."""
         self._attempt = attempt
         self._parser.start()
         attempt.connection = self
@@ -171,10 +173,10 @@
     ) -> None:
         attempt = self._attempt
         self._attempt = None
-        # The pool comes first: what the outcome sets off may use the connection.
+        # The connection is released before the outcome is reported, as the handler may send the next attempt.
         if can_reuse and not self._is_writing_paused and self.is_usable():
             self.reusable_at_ms = now_ms() + REUSE_DELAY_MS
-            self._owner.put_back(self)
+            self._owner.release(self)
         else:
             self.close()
         if attempt is not None:
@@ -182,10 +184,10 @@
 
 
 def _outcome_of(response: ParsedResponse) -> Outcome:
-    """The outcome of an attempt by its response, as in the protocol page's table."""
+    """Return the outcome of an attempt with this response, as the protocol defines it."""
     if response.status == 200:
         return Outcome.SUCCESS
-    is_marked = response.headers.get(b"x-rejected", b"").strip() == b"1"
-    if response.status in REJECTION_STATUSES and is_marked:
+    is_marked_rejected = response.headers.get(b"x-rejected", b"").strip() == b"1"
+    if response.status in REJECTION_STATUSES and is_marked_rejected:
         return Outcome.REJECTED
     return Outcome.ERROR
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers: it opens them, keeps idle ones, and sends attempts on them."""
+"""The connection pool, which opens connections to servers, reuses idle ones and sends attempts on them."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from workspond.upstream.connection import ServerConnection
 
 MAX_IDLE_FRACTION = 0.5
-"""How long a connection may be idle, as a fraction of the servers' own limit.
+"""The maximum idle time of a connection, as a fraction of the servers' keep-alive time.
 
-A request that is written while the server closes the connection would end in a reset.
+It is below 1 because a request written while the server closes the connection would end in a reset.
 """
 
 LOCAL_SHORTAGE_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
-"""The errors of connecting that tell of a shortage in this process or machine, and nothing of the server."""
+"""The errors of connecting that are caused by a shortage in this process or machine, not by the server."""
 
-LATE_READ_S = 0.001
-"""How long a timeout is put off for a response that is unread; timers are no finer than this.
+LATE_READ_DELAY_S = 0.001
+"""The time by which a timeout is postponed when response data is unread.
 
-By then the event loop has read what had arrived before.
+It is the resolution of the event loop's timers. After the delay, the loop has read the data.
 """
 
 SWEEP_INTERVAL_S = 1.0
-"""How often connections that have been idle for too long are looked for."""
+"""The time between two searches for connections over the maximum idle time."""
 
 log = logging.getLogger("workspond")
 
 
-class ConnectingTask:
-    """A connection that is being opened, as the carrier of the attempt that it is for."""
+class PendingConnection:
+    """The connection of an attempt while it is being opened; see `AttemptConnection`."""
 
     __slots__ = ("_task",)
 
@@ -45,16 +45,16 @@
         self._task = task
 
     def close(self) -> None:
-        """Stop connecting; the task closes whatever has come up."""
+        """Cancel the task that opens the connection, which also closes the socket."""
         self._task.cancel()
 
     def has_unread_data(self) -> bool:
-        """Whether something has arrived: never, as no request has been written."""
+        """Return False, as no request has been written and so no response can have arrived."""
         return False
 
 
 class ConnectionPool:
-    """All connections to servers."""
+    """The open, idle and opening connections to all servers."""
 
     def __init__(
         self,
@@ -63,25 +63,25 @@
         keepalive_ms: float,
         available_descriptors: Callable[[], int],
     ) -> None:
-        """Start with no connections.
+        """Create an empty pool.
 
         Args:
-            loop: The event loop that runs them.
-            connect_timeout_ms: How long a connection may take to open.
-            keepalive_ms: After how long servers close an idle connection.
-            available_descriptors: How many more sockets the process may open.
+            loop: The event loop that runs the connections.
+            connect_timeout_ms: The maximum time to open a connection.
+            keepalive_ms: The idle time after which servers close a connection.
+            available_descriptors: Returns how many more sockets the process may open.
         """
         self._loop = loop
         self._available_descriptors = available_descriptors
         self._connect_timeout_s = connect_timeout_ms / 1000.0
         self._max_idle_ms = keepalive_ms * MAX_IDLE_FRACTION
-        self._idle: dict[int, list[ServerConnection]] = {}  # by server, the least recently used first
+        self._idle: dict[int, list[ServerConnection]] = {}  # by server id, least recently used first
         self._open: set[ServerConnection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
         loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_count(self) -> int:
-        """How many sockets are in use, with those that are being opened."""
+        """Return the number of sockets in use, including those of opening connections."""
         return len(self._open) + len(self._connecting)
 
     def send(
@@ -93,28 +93,30 @@
         *,
         new_connection: bool = False,
     ) -> Attempt:
-        """Start an attempt; its handler may be told of its end before this returns.
+        """Start an attempt; its outcome may be reported before this method returns.
 
-        The handler renders the request when it is written, as connecting may take most of the time there is.
+        The handler renders the request when it is written, as the request states the time that is left, and
+        connecting may take most of it.
 
         Args:
-            server_id: The server.
-            address: Where it listens.
-            handler: Renders the request and takes the outcome.
-            timeout_ms: How long the attempt may take, connecting included.
-            new_connection: Whether it must have a connection of its own, not one that was idle.
+            server_id: The id of the server.
+            address: The address on which the server listens.
+            handler: Renders the request and receives the outcome.
+            timeout_ms: The maximum duration of the attempt, including the time to connect.
+            new_connection: Whether the attempt must use a new connection, not an idle one.
         """
         attempt = Attempt(handler)
         self._set_timeout(max(0.0, timeout_ms) / 1000.0, attempt)
         if new_connection:
-            self._close_least_recently_used(server_id)  # the new one takes its place, or they would add up
+            # The new connection replaces an idle one, so that connections do not accumulate.
+            self._close_least_recently_used(server_id)
             connection = None
         else:
             connection = self._take_idle(server_id, address)
         if connection is not None:
             connection.send(attempt)
         elif self._available_descriptors() <= 0 and not self.close_oldest_idle():
-            # The shortage is this process's own: the attempt never ran, and says nothing about the server.
+            # The shortage is in this process: the request never ran, and the server is not at fault.
             attempt.end(Outcome.NOT_SENT)
         else:
             self._start_connecting(attempt, server_id, address)
@@ -124,27 +126,28 @@
         task = self._loop.create_task(self._connect(attempt, server_id, address))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
-        attempt.connection = ConnectingTask(task)
+        attempt.connection = PendingConnection(task)
 
     def _set_timeout(self, delay_s: float, attempt: Attempt) -> None:
         attempt.set_timeout_timer(self._loop.call_later(delay_s, self._on_timeout, attempt))
 
     def _on_timeout(self, attempt: Attempt) -> None:
-        """Time an attempt out, unless its response came in time and the event loop only reads it late.
+        """Time out an attempt; postpone this once if response data is unread.
 
-        Timers may run before what arrived meanwhile is read: after a turn of the loop that is longer than the
-        timeout, all that was answered in it would count as lost, and be sent again.
+        Timers may run before data that has arrived is read. After an iteration of the event loop that is
+        longer than the timeout, all requests answered during it would time out and be sent again.
         """
         if not attempt.is_timeout_extended and attempt.has_unread_data():
             attempt.is_timeout_extended = True
-            self._set_timeout(LATE_READ_S, attempt)
+            self._set_timeout(LATE_READ_DELAY_S, attempt)
         else:
             attempt.time_out()
 
     def _take_idle(self, server_id: int, address: Address) -> ServerConnection | None:
-        """The most recently used connection that may be used again, so that the others can expire.
+        """Take the most recently used connection that is usable, or return None.
 
-        Those that are found broken, or lead to an old address, are closed on the way.
+        The least recently used connections are left to expire. Connections that turn out to be unusable or
+        that were opened to another address are closed.
         """
         now = now_ms()
         idle = self._idle.get(server_id, [])
@@ -156,55 +159,55 @@
         return None
 
     async def _connect(self, attempt: Attempt, server_id: int, address: Address) -> None:
-        """Open a connection for an attempt and send it there; report the outcome if it could not be sent."""
+        """Open a connection and send an attempt on it; report the outcome if it could not be sent."""
         connection = ServerConnection(self, server_id, address)
         try:
             outcome = await self._connect_and_send(connection, attempt)
-        except OSError as error:  # a timeout is one too
+        except OSError as error:  # includes TimeoutError
             is_local = error.errno in LOCAL_SHORTAGE_ERRNOS
             outcome = Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED
         except Exception:
             log.exception("connecting to a server failed: endpoint=%s:%d", *address)
             outcome = Outcome.RESET if attempt.is_written else Outcome.CONNECT_FAILED
         finally:
-            if connection not in self._open:  # cancelled or broken: nobody uses what came up of it
+            if connection not in self._open:  # connecting was cancelled or has failed
                 connection.close()
         if outcome is not None:
             attempt.end(outcome)
 
     async def _connect_and_send(self, connection: ServerConnection, attempt: Attempt) -> Outcome | None:
-        """Open a connection and send an attempt on it; returns the outcome, or None if it has been sent."""
+        """Open a connection and send an attempt on it; return the outcome, or None if it was sent."""
         async with asyncio.timeout(self._connect_timeout_s):
             await self._loop.create_connection(lambda: connection, *connection.address)
-        if not connection.is_usable():  # it came up and broke at once
+        if not connection.is_usable():  # it was closed right after it had opened
             return Outcome.CONNECT_FAILED
         self._open.add(connection)
-        # Connecting took time: the request may have ended, or its server may be draining by now.
+        # During connecting, the request may have ended or the server may have started to drain.
         if attempt.is_over or not attempt.handler.may_send():
-            self.put_back(connection)
+            self.release(connection)
             return Outcome.NOT_SENT
         connection.send(attempt)
         return None
 
-    def put_back(self, connection: ServerConnection) -> None:
-        """Keep a connection that carries no attempt for the next one."""
+    def release(self, connection: ServerConnection) -> None:
+        """Return a connection without an attempt to the idle connections."""
         connection.idle_since_ms = now_ms()
         self._idle.setdefault(connection.server_id, []).append(connection)
 
     def remove(self, connection: ServerConnection) -> None:
-        """Remove a connection that is closed, or is about to be."""
+        """Remove a connection that is closed or about to be closed."""
         self._open.discard(connection)
         idle = self._idle.get(connection.server_id)
         if idle and connection in idle:
             idle.remove(connection)
 
     def close_idle(self, server_id: int) -> None:
-        """Close the idle connections to a server."""
+        """Close all idle connections to a server."""
         for connection in self._idle.pop(server_id, []):
             connection.close()
 
     def close_oldest_idle(self) -> bool:
-        """Free a socket; returns whether there was an idle connection to close."""
+        """Close the connection that has been idle longest; return whether there was one."""
         candidates = (idle[0] for idle in self._idle.values() if idle)
         oldest = min(candidates, key=_idle_since_ms, default=None)
         if oldest is None:
@@ -218,7 +221,7 @@
             idle[0].close()
 
     def _sweep(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections over the maximum idle time, now and every `SWEEP_INTERVAL_S` seconds."""
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         idle_before_ms = now_ms() - self._max_idle_ms
         for server_id, idle in list(self._idle.items()):
--- a/workspond/upstream/load_report.py
+++ b/workspond/upstream/load_report.py
@@ -1,23 +1,26 @@
-"""Load reports of servers, which come in the X-Load-Report header of a response."""
+"""Parses load reports, which servers send in the X-Load-Report header of a response."""
 
 from __future__ import annotations
 
 import math
 
 MAX_REPORTED_VALUE = 1e6
-"""The largest figure taken. The policy raises them to powers, and an overflow would stop every selection."""
+"""The limit to which figures are capped.
+
+The policy raises figures to powers, and an overflow would make every selection of a server fail.
+"""
 
 
 def parse_load_report(header_value: bytes) -> dict[str, float] | None:
     """Parse a load report such as `inflight=7,queue=2`.
 
-    Servers' figures are noisy: negative ones count as 0, and those above `MAX_REPORTED_VALUE` as that.
+    Servers may report inaccurate figures: they are clamped to the range from 0 to `MAX_REPORTED_VALUE`.
 
     Args:
         header_value: The value of the header.
 
     Returns:
-        The figures by their names, or None if any of the report can't be read.
+        The figures by name, or None if any part of the report is invalid.
     """
     try:
         pairs = [part.split("=") for part in header_value.decode("ascii").split(",")]
--- a/workspond/upstream/request_writer.py
+++ b/workspond/upstream/request_writer.py
@@ -1,4 +1,4 @@
-"""The form in which a client's request goes on to a server."""
+"""Renders the requests that are forwarded to servers."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def render_request(message: ClientRequest, address: Address, timeout_ms: float) -> bytes:
-    """Render a request in one piece, to be written at once.
+    """Render a request as one string of bytes, so that a single write can send it.
 
     Args:
-        message: What the client sent.
-        address: The server's address.
-        timeout_ms: How long the answer is waited for from now, which the server is told.
+        message: The client's request.
+        address: The address of the server, for the Host header.
+        timeout_ms: The time left for the response, which is sent to the server in X-Budget.
     """
     host, port = address
     parts = [
--- a/workspond/upstream/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -1,8 +1,8 @@
-"""The last check before an attempt is written to a server's connection.
+"""The last check before an attempt is written to a server connection.
 
-What was decided may no longer hold when a connection has been opened: then the attempt is not written and
-ends as never run. What the policy must never decide is not written either; it is counted, and logged as a
-broken invariant.
+The state on which the policy decided to send may have changed while a connection was opened. In that case the
+attempt is not written and is reported as never run. An attempt that the policy must never send is not written
+either; it is counted and logged as a broken invariant.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class SendRefusal(Enum):
-    """Why an attempt is not written."""
+    """The reason why an attempt is not written."""
 
     REQUEST_ENDED = "request ended"
     CLIENT_DISCONNECTED = "client disconnected"
@@ -34,36 +34,36 @@
     TOO_MANY_ATTEMPTS = "maximum of attempts reached"
 
 
-BROKEN_INVARIANTS = frozenset(
+INVARIANT_REFUSALS = frozenset(
     (SendRefusal.NON_IDEMPOTENT_RETRY, SendRefusal.OVERLAPPING_ATTEMPT, SendRefusal.TOO_MANY_ATTEMPTS)
 )
-"""The refusals that no change since the decision explains: the policy must not have decided to send."""
+"""The refusals that mean a fault in the policy, as no change since its decision can explain them."""
 
 
 class AttemptHistory:
-    """What has been written of one request, and what became of it.
+    """The written attempts of one request.
 
     Attributes:
-        written: How many attempts have been written.
-        in_flight: How many of these have no outcome yet.
-        may_have_run: Whether the outcome of one of them does not prove that it never ran.
+        written_count: The number of attempts that were written.
+        in_flight_count: The number of written attempts that have no outcome yet.
+        may_have_run: Whether a server may have run an ended attempt, judging by its outcome.
     """
 
-    __slots__ = ("in_flight", "may_have_run", "written")
+    __slots__ = ("in_flight_count", "may_have_run", "written_count")
 
     def __init__(self) -> None:
-        self.written = 0
-        self.in_flight = 0
+        self.written_count = 0
+        self.in_flight_count = 0
         self.may_have_run = False
 
     def record_write(self) -> None:
-        """An attempt is being written."""
-        self.written += 1
-        self.in_flight += 1
+        """Record that an attempt is being written."""
+        self.written_count += 1
+        self.in_flight_count += 1
 
     def record_end(self, *, may_have_run: bool) -> None:
-        """A written attempt has ended."""
-        self.in_flight -= 1
+        """Record that a written attempt has ended."""
+        self.in_flight_count -= 1
         self.may_have_run = self.may_have_run or may_have_run
 
 
@@ -73,11 +73,11 @@
 
     Attributes:
         request_id: The client's X-Call-Id, for the log.
-        class_name: The class of the request.
+        class_name: The name of the request's class.
         history: The earlier attempts of the request.
-        server_id: The server that it is for.
-        address: The address that its connection leads to.
-        send_until_ms: The last moment to write it, by `now_ms`; infinity if there is none.
+        server_id: The id of the selected server.
+        address: The address to which the connection is opened.
+        send_until_ms: The latest time, by `now_ms`, to write the attempt; infinity if there is no limit.
     """
 
     request_id: str
@@ -89,44 +89,44 @@
 
 
 class SendGuard:
-    """Checks all attempts by records of the node's own, not by those of the policy.
+    """Checks all attempts before they are written, on data kept independently of the policy.
 
     Attributes:
-        broken: How often each invariant was broken.
+        broken_counts: How often each invariant was broken.
     """
 
     def __init__(self, settings: Settings, in_service: Set[int], addresses: Mapping[int, Address]) -> None:
-        """Check by these settings and sets.
+        """Create a guard.
 
         Args:
             settings: The node's settings.
-            in_service: The servers that take requests. The node changes this set while it runs.
-            addresses: The addresses of all servers. The node changes this mapping while it runs.
+            in_service: The ids of the servers that take requests; the node updates this set in place.
+            addresses: The addresses of all servers by id; the node updates this mapping in place.
         """
         self._settings = settings
         self._in_service = in_service
         self._addresses = addresses
         self._idempotency = {each.name: each.idempotency for each in settings.classes}
-        self.broken: Counter[SendRefusal] = Counter()
+        self.broken_counts: Counter[SendRefusal] = Counter()
 
     def may_have_run(self, outcome: Outcome) -> bool:
-        """Whether a written attempt with this outcome may have run."""
+        """Return whether the server may have run a written attempt that ended with this outcome."""
         if outcome is Outcome.REJECTED:
             return self._settings.rejected_may_have_run
         return outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
     def check(self, send: PendingSend) -> SendRefusal | None:
-        """Why an attempt must not be written now; None if it may be.
+        """Return why an attempt must not be written now, or None if it may be written.
 
         A broken invariant is counted and logged.
         """
         refusal = self._find_change(send) or self._find_broken_invariant(send)
-        if refusal in BROKEN_INVARIANTS:
+        if refusal in INVARIANT_REFUSALS:
             self._report_broken_invariant(send, refusal)
         return refusal
 
     def _find_change(self, send: PendingSend) -> SendRefusal | None:
-        """What has changed since the decision to send."""
+        """Return the refusal for a change since the decision to send, or None."""
         if send.server_id not in self._in_service:
             return SendRefusal.NOT_IN_SERVICE
         if self._addresses.get(send.server_id) != send.address:
@@ -136,18 +136,18 @@
         return None
 
     def _find_broken_invariant(self, send: PendingSend) -> SendRefusal | None:
-        """Which rule the decision to send breaks."""
+        """Return the refusal for an invariant that the decision to send breaks, or None."""
         history = send.history
-        if history.in_flight and not self._settings.parallel_attempts:
+        if history.in_flight_count and not self._settings.parallel_attempts:
             return SendRefusal.OVERLAPPING_ATTEMPT
         if history.may_have_run and self._idempotency[send.class_name] is Idempotency.NON_IDEMPOTENT:
             return SendRefusal.NON_IDEMPOTENT_RETRY
-        if history.written >= self._settings.max_attempts:
+        if history.written_count >= self._settings.max_attempts:
             return SendRefusal.TOO_MANY_ATTEMPTS
         return None
 
     def _report_broken_invariant(self, send: PendingSend, refusal: SendRefusal) -> None:
-        self.broken[refusal] += 1
+        self.broken_counts[refusal] += 1
         host, port = send.address or ("", 0)
         log.error(
             'invariant broken: request=%s class=%s endpoint=%s:%d written=%d reason="%s" count=%d',
@@ -155,7 +155,7 @@
             send.class_name,
             host,
             port,
-            send.history.written,
+            send.history.written_count,
             refusal.value,
-            self.broken.total(),
+            self.broken_counts.total(),
         )
