--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -44,7 +44,7 @@
     async def test() -> None:
         async with node_environment(tmp_path, Server(default=render_response(500))) as environment:
             assert environment.node is not None
-            environment.node._requests._tracer._budget = UnfilledBucket(tokens=MAX_LINES, now_ms=0.0)
+            environment.node._requests._tracer._rate_limit = UnfilledBucket(tokens=MAX_LINES, now_ms=0.0)
             for n in range(MAX_LINES + 3):
                 await environment.ask(f"{n}", "pay")
 
--- a/workspond/observability/__init__.py
+++ b/workspond/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Observability: the log, counters of events, and traces of requests that end badly."""
+"""Observability: the log, event counters, and log lines that trace failed requests."""
--- a/workspond/observability/attempt_record.py
+++ b/workspond/observability/attempt_record.py
@@ -1,4 +1,4 @@
-"""What is remembered of a request's attempts, for the log line of a request that ends badly."""
+"""Records of the attempts of a request, for the log line that is written if the request fails."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class EndedAttempt:
-    """An attempt that was begun and has ended.
+    """The record of an attempt that was started and has ended.
 
     Attributes:
-        number: The attempt's number within its request, from 0.
+        number: The number of the attempt within its request, starting at 0.
         address: The address of the server.
-        outcome: How the attempt ended.
-        start_ms: When it was begun, counted from when its request was received.
-        duration_ms: How long it took.
+        outcome: The outcome of the attempt.
+        start_ms: The time from the receipt of the request to the start of the attempt.
+        duration_ms: The duration of the attempt.
     """
 
     number: int
@@ -35,10 +35,10 @@
 
 @dataclass(slots=True)
 class BlockedAttempt:
-    """An attempt that the send guard stopped before it was written.
+    """The record of an attempt that was blocked before it was written.
 
     Attributes:
-        reason: Why it was stopped.
+        reason: The value of the `SendRefusal`.
     """
 
     reason: str
--- a/workspond/observability/counters.py
+++ b/workspond/observability/counters.py
@@ -1,6 +1,7 @@
-"""Counts of what happened and why, for the log.
+"""Counters of events by reason, which are written to the log.
 
-They are written as one line once a minute, and once at the end, if anything was counted since the last line.
+The counts since the previous line are written as one line every `REPORT_INTERVAL_S` and at shutdown, unless
+there are none.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 
 
 class CountedEvent(Enum):
-    """What is counted, each for a reason."""
+    """The events that are counted, each together with a reason."""
 
-    CONNECTION_CLOSED = "connection_closed"  # a client's connection, by the node
-    REQUEST_ANSWERED = "request_answered"  # the reason is the status
+    CONNECTION_CLOSED = "connection_closed"  # counts client connections that the node closed
+    REQUEST_ANSWERED = "request_answered"  # the reason is the HTTP status
     REQUEST_ABANDONED = "request_abandoned"
     ATTEMPT_ENDED = "attempt_ended"  # the reason is the outcome
-    ATTEMPT_BLOCKED = "attempt_blocked"  # an attempt that was not written
-    DISCOVERY_FAILED = "discovery_failed"  # a call to discovery
+    ATTEMPT_BLOCKED = "attempt_blocked"  # counts attempts that were not written
+    DISCOVERY_FAILED = "discovery_failed"  # counts failed calls to the discovery agent
 
 
 class EventCounters:
-    """How often each event happened for each reason.
+    """Counts how often each event occurred, by reason.
 
     Attributes:
-        total: The counts since the start.
+        total: The counts since the process started.
     """
 
     def __init__(self) -> None:
@@ -38,11 +39,11 @@
         self._reported: Counter[tuple[CountedEvent, str]] = Counter()
 
     def increment(self, event: CountedEvent, reason: str) -> None:
-        """Count one event."""
+        """Count one occurrence of an event."""
         self.total[event, reason] += 1
 
     def summary(self) -> str:
-        """Return what was counted since the last call, as `event[reason]=count, ...`, or nothing."""
+        """Return the counts since the previous call as `event[reason]=count, ...`, or an empty string."""
         new_counts = self.total - self._reported
         self._reported = self.total.copy()
         return ", ".join(
@@ -57,7 +58,7 @@
             log.info("counts: %s", text)
 
     def start_periodic_report(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Write the summary to the log every `REPORT_INTERVAL_S` from now on."""
+        """Write the summary to the log every `REPORT_INTERVAL_S` seconds."""
         loop.call_later(REPORT_INTERVAL_S, self._report, loop)
 
     def _report(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/workspond/observability/log_output.py
+++ b/workspond/observability/log_output.py
@@ -1,7 +1,7 @@
 """Log output that never blocks the process.
 
-Standard error may be a pipe that nobody reads, a full disk, or closed. A line that can't be written at once
-is dropped and counted; the next line that can be written is preceded by the count.
+Standard error may be closed, a pipe whose reader has stopped, or a file on a full disk. A line that can't be
+written at once is dropped and counted, and the next line that is written is preceded by the count.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 import stat
 
 STANDARD_ERROR = 2
-# A write of no more than this to a pipe is done completely or not at all, and fits if the pipe is writable.
+# This is PIPE_BUF of Linux: a longer write to a pipe may be done in part, and may not fit into a pipe that is
+# reported as writable.
 MAX_WRITE_BYTES = 4096
 
 
 def open_standard_descriptors() -> None:
-    """Open those of the descriptors 0 to 2 that are closed, on /dev/null.
+    """Open /dev/null on those of the descriptors 0 to 2 that are closed.
 
-    The first sockets would get a closed descriptor's number, and what is meant for the log.
+    Otherwise the first sockets would get these numbers, and log lines would be written into them.
     """
     descriptor = os.open(os.devnull, os.O_RDWR)
     while descriptor <= STANDARD_ERROR:
@@ -29,10 +30,10 @@
 
 
 class LineWriter:
-    """Writes lines to a descriptor without ever waiting for it.
+    """Writes lines to a file descriptor without blocking.
 
     Attributes:
-        dropped_count: How many lines were dropped since the last one that was written.
+        dropped_count: The number of lines dropped since the last line that was written.
     """
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
@@ -56,28 +57,28 @@
             self.dropped_count += 1
 
     def _write_bytes(self, data: bytes) -> bool:
-        """Write all the bytes now; returns False if that can't be done."""
+        """Write all bytes without blocking; return whether that was possible."""
         try:
             while data:
                 if not self._poll.poll(0):
                     return False
-                data = data[self._write_piece(data[:MAX_WRITE_BYTES]) :]
-        except OSError:  # full, closed, or broken: whatever it is, the node goes on
+                data = data[self._write_chunk(data[:MAX_WRITE_BYTES]) :]
+        except OSError:  # a failure to log must not stop the node
             return False
         return True
 
-    def _write_piece(self, piece: bytes) -> int:
-        """Write what can be written; returns the number of bytes."""
+    def _write_chunk(self, chunk: bytes) -> int:
+        """Write as much of a chunk as possible and return the number of bytes written."""
         if self._socket is not None:
-            return self._socket.send(piece, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
-        return os.write(self._descriptor, piece)
+            return self._socket.send(chunk, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
+        return os.write(self._descriptor, chunk)
 
 
 def _reopen_nonblocking(descriptor: int) -> int:
-    """Return a descriptor of the same pipe that does not block, or the same descriptor if that can't be had.
+    """Open the same pipe again in non-blocking mode; return the original descriptor if that fails.
 
-    Others may write to the pipe too, and may fill it between our poll and our write. The mode of the
-    descriptor itself is shared with them and not ours to change.
+    Other processes may write to the pipe and fill it between the poll and the write. The mode of the original
+    descriptor must not be changed, as it is shared with them.
     """
     try:
         return os.open(f"/proc/self/fd/{descriptor}", os.O_WRONLY | os.O_NONBLOCK | os.O_CLOEXEC)
@@ -86,23 +87,28 @@
 
 
 class LineHandler(logging.Handler):
-    """A handler of log records that gives them to a `LineWriter`."""
+    """A logging handler that writes records through a `LineWriter`."""
 
     def __init__(self, writer: LineWriter) -> None:
         super().__init__()
         self._writer = writer
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record; of one that can't be formatted, write the message as it is."""
+        """Write a record; if it can't be formatted, write the message without its arguments."""
         try:
             line = self.format(record)
         except Exception as error:
-            line = f"{record.levelname} {record.msg!r:.200} (not formatted: {error!r:.100})"
+            line = f"{record.levelname} {record.msg!r:.200} (formatting failed: {error!r:.100})"
         self._writer.write(line)
 
 
 def set_up_logging(writer: LineWriter, name: str) -> None:
-    """Have all log records of the process written by a writer, with the node's name."""
+    """Configure the root logger to write all records through a writer.
+
+    Args:
+        writer: Writes the lines.
+        name: The name of the node, which is part of each line.
+    """
     handler = LineHandler(writer)
     handler.setFormatter(logging.Formatter(f"%(asctime)s {name} %(levelname)s %(message)s"))
     root = logging.getLogger()
--- a/workspond/observability/request_trace.py
+++ b/workspond/observability/request_trace.py
@@ -1,4 +1,4 @@
-"""Log lines that trace a request that ended badly, from its arrival on, with every attempt."""
+"""Writes log lines that trace failed, rejected and abandoned requests with all their attempts."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from workspond.observability.attempt_record import BlockedAttempt, EndedAttempt
 from workspond.policy.token_bucket import TokenBucket
 
-MAX_TRACES_PER_S = 20.0  # so that overload does not spend CPU on its log
+MAX_TRACES_PER_S = 20.0  # limits the CPU time that logging takes under overload
 REJECTED_STATUS = 503
 
 log = logging.getLogger("workspond")
 
 
 class TracedRequest(Protocol):
-    """What a trace tells of a request; see `ActiveRequest`."""
+    """The part of an `ActiveRequest` that is written to a trace."""
 
     message: ClientRequest
     received_at_ms: float
@@ -27,23 +27,23 @@
 
 
 class RequestTracer:
-    """Writes the traces, `MAX_TRACES_PER_S` at most."""
+    """Writes traces to the log, at most `MAX_TRACES_PER_S` on average."""
 
     def __init__(self) -> None:
-        self._budget = TokenBucket(MAX_TRACES_PER_S, now_ms())
+        self._rate_limit = TokenBucket(MAX_TRACES_PER_S, now_ms())
 
     def log_failure(self, request: TracedRequest, status: int) -> None:
-        """Trace a request that was answered with an error."""
+        """Trace a request that was answered with an error status."""
         event = "rejected" if status == REJECTED_STATUS else "failed"
         self._write(request, event, f"status={status}")
 
     def log_abandoned(self, request: TracedRequest, reason: str) -> None:
-        """Trace a request that nobody waits for any more."""
+        """Trace a request that was abandoned before it was answered."""
         self._write(request, "abandoned", f'reason="{reason}"')
 
     def _write(self, request: TracedRequest, event: str, cause: str) -> None:
         now = now_ms()
-        if not self._budget.try_take(MAX_TRACES_PER_S / 1000.0, MAX_TRACES_PER_S, now):
+        if not self._rate_limit.try_take(MAX_TRACES_PER_S / 1000.0, MAX_TRACES_PER_S, now):
             return
         message = request.message
         log.info(
