--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -1,4 +1,4 @@
-"""What tests of clients' connections share: plain sockets as clients, and what the node holds for them."""
+"""Helpers for tests of client connections: plain client sockets, and queries of the node's state."""
 
 from __future__ import annotations
 
@@ -10,55 +10,55 @@
 from workspond.node import Node
 
 INCOMPLETE_REQUESTS = {
-    "half a head": b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n",
-    "half a body": request("q", "pay", body=b"whole")[:-2],
-    "no end of chunks": b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n",
+    "incomplete head": b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n",
+    "incomplete body": request("q", "pay", body=b"whole")[:-2],
+    "no last chunk": b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n",
 }
 
 
 def running_node(environment: NodeEnvironment) -> Node:
-    """The node of a scene that runs in this process."""
+    """Return the node of an environment that runs its node in this process."""
     assert environment.node is not None
     return environment.node
 
 
 async def ready_node(environment: NodeEnvironment) -> Node:
-    """The node of a scene, once it has servers to send to."""
+    """Return the node of an environment once it is ready to serve requests."""
     node = running_node(environment)
     await until(node.is_ready)
     return node
 
 
-def open_connections(environment: NodeEnvironment) -> int:
-    """How many connections of clients the node holds."""
+def open_connection_count(environment: NodeEnvironment) -> int:
+    """Return the number of client connections that are open or being opened."""
     return running_node(environment).frontend.connection_count()
 
 
-def open_requests(node: Node) -> int:
-    """How many requests the node owes a response."""
+def open_request_count(node: Node) -> int:
+    """Return the number of requests that the node has accepted and not answered."""
     assert len(node._requests.open_request_ids) == len(node._requests.active)
     return len(node._requests.active)
 
 
 async def connect(environment: NodeEnvironment) -> socket.socket:
-    """A client's socket that the node has accepted; it does nothing by itself."""
+    """Connect a plain socket to the node and wait until the node has accepted it."""
     await ready_node(environment)
-    before = open_connections(environment)
+    count_before = open_connection_count(environment)
     client = socket.create_connection(environment.address, LIMIT_S)
-    await until(lambda: open_connections(environment) == before + 1)
+    await until(lambda: open_connection_count(environment) == count_before + 1)
     return client
 
 
 async def receive(client: socket.socket) -> bytes:
-    """What a client's socket receives next, while the event loop runs."""
+    """Return the next data that a client socket receives, without blocking the event loop."""
     return await asyncio.to_thread(client.recv, 1000)
 
 
-def state_count(node: Node, state: ConnectionState) -> int:
-    """How many connections of clients are in a state."""
+def count_in_state(node: Node, state: ConnectionState) -> int:
+    """Return the number of client connections in a state."""
     return len(node.frontend.connections.in_state(state))
 
 
 def is_ok(response: bytes) -> bool:
-    """Whether a response as it was received is that to a request that was served."""
+    """Return whether the bytes of a response begin with status 200."""
     return response.startswith(b"HTTP/1.1 200")
--- a/tests/stalled_listener.py
+++ b/tests/stalled_listener.py
@@ -1,4 +1,4 @@
-"""A server whose connections do not come up until the test lets them."""
+"""A server to which connections stay pending until the test accepts them."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class StalledListener:
-    """A listening socket with a full backlog: whoever connects to it waits until `accept` is called.
+    """A listening socket with a full backlog, so that connecting to it hangs until `accept` is called.
 
-    The kernel tries a handshake again after 1 s, so that `accept` takes as long.
+    `accept` takes about 1 s, after which the kernel retries the handshake.
     """
 
     def __init__(self) -> None:
         self._socket = socket.socket()
-        self._filler = socket.socket()
+        self._backlog_filler = socket.socket()
 
     def __enter__(self) -> StalledListener:
         self._socket.bind(("127.0.0.1", 0))
         self._socket.listen(0)  # the backlog holds one connection
-        self._filler.connect(self._socket.getsockname())
+        self._backlog_filler.connect(self._socket.getsockname())
         self._socket.setblocking(False)
         return self
 
@@ -33,21 +33,21 @@
         exception: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._filler.close()
+        self._backlog_filler.close()
         self._socket.close()
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address on which the socket listens, as `host:port`."""
         host, port = self._socket.getsockname()[:2]
         return f"{host}:{port}"
 
     def entry(self) -> dict[str, Any]:
-        """Return its entry in the endpoint list."""
+        """Return the entry of this server in the endpoint list."""
         return {"name": "stalled", "address": self.address, "status": "active"}
 
     async def accept(self) -> socket.socket:
-        """Let the connection that waits come up, and return it."""
+        """Accept the pending connection and return it."""
         loop = asyncio.get_running_loop()
         in_backlog, _ = await asyncio.wait_for(loop.sock_accept(self._socket), LIMIT_S)
         in_backlog.close()
@@ -56,7 +56,7 @@
 
 
 def has_received_nothing(connection: socket.socket) -> bool:
-    """Return whether the connection is open with nothing to read."""
+    """Return whether a connection is open and holds no unread data."""
     connection.setblocking(False)
     try:
         connection.recv(1)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients that are silent, slow, many or do not read: each state of a connection has a timeout."""
+"""Client connections: state timeouts, clients that do not read, eviction and cleanup."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tests.client_helpers import (
     INCOMPLETE_REQUESTS,
     connect,
+    count_in_state,
     is_ok,
-    open_connections,
-    open_requests,
+    open_connection_count,
+    open_request_count,
     ready_node,
     receive,
     running_node,
-    state_count,
 )
 from tests.peers import (
     HANG,
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Timeouts that a test can wait for."""
+    """Shorten all state timeouts so that a test can wait for them."""
     monkeypatch.setattr(frontend, "SWEEP_INTERVAL_S", 0.02)
     for state in connection_states.STATE_TIMEOUTS_S:
         monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, state, 0.2)
@@ -45,15 +45,17 @@
 
 @pytest.fixture
 def long_flush_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection whose client does not read stays open for the whole test."""
+    """Keep connections open for the whole test although their clients do not read."""
     monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, ConnectionState.FLUSHING, 1000.0)
 
 
 @pytest.mark.usefixtures("short_timeouts")
 @pytest.mark.parametrize("data", INCOMPLETE_REQUESTS.values(), ids=INCOMPLETE_REQUESTS.keys())
-@pytest.mark.parametrize("is_used", [False, True], ids=["at first", "later"])
-def test_a_request_that_does_not_come_whole_is_told_so(data: bytes, is_used: bool, tmp_path: Path) -> None:
-    """Without a timeout it would hold its socket for ever."""
+@pytest.mark.parametrize("is_used", [False, True], ids=["first request", "later request"])
+def test_an_incomplete_request_is_answered_with_408_and_the_connection_closed(
+    data: bytes, is_used: bool, tmp_path: Path
+) -> None:
+    """Without a timeout, an incomplete request would keep its socket open forever."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
@@ -63,13 +65,13 @@
             client.write(data)
             assert (await client.read()).status == 408
             assert await client.closed()
-            await until(lambda: open_connections(environment) == 0)
+            await until(lambda: open_connection_count(environment) == 0)
 
     run(test())
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_silent_and_idle_callers_are_closed_but_not_those_that_wait_for_their_answer(tmp_path: Path) -> None:
+def test_silent_and_idle_connections_are_closed_but_not_those_awaiting_a_response(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
@@ -85,7 +87,7 @@
 
 
 async def connect_slow_reader(environment: NodeEnvironment, client: socket.socket) -> ClientConnection:
-    """Connect a client; its socket and the node's own for it have very small buffers."""
+    """Connect a client with very small socket buffers at both ends; return the node's end."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     await asyncio.to_thread(client.connect, environment.address)
     connections = running_node(environment).frontend.connections
@@ -97,8 +99,8 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_a_caller_that_does_not_read_is_ended_and_read_from_no_more(tmp_path: Path) -> None:
-    """Else its responses stay in memory, and closing its connection waits for it to read."""
+def test_a_connection_whose_client_does_not_read_is_closed(tmp_path: Path) -> None:
+    """Otherwise its responses stay in memory, and an orderly close waits for the client to read."""
 
     async def test() -> None:
         async with node_environment(
@@ -107,14 +109,16 @@
             with socket.socket() as client:
                 await connect_slow_reader(environment, client)
                 client.sendall(b"".join(request(f"{n}") for n in range(8)))
-                await until(lambda: open_connections(environment) == 0)
+                await until(lambda: open_connection_count(environment) == 0)
 
     run(test())
 
 
 @pytest.mark.usefixtures("long_flush_timeout")
-def test_a_caller_that_leaves_with_an_answer_unread_leaves_the_request_after_it_too(tmp_path: Path) -> None:
-    """Its connection closes only once all is written; its request must not be retried till then."""
+def test_a_client_that_disconnects_with_an_unread_response_has_its_next_request_abandoned(
+    tmp_path: Path,
+) -> None:
+    """The connection closes only after the last write, and the request must not be retried until then."""
 
     async def test() -> None:
         server = Server(render_response(200, b"x" * 40_000), default=HANG)
@@ -124,18 +128,20 @@
                 await connect_slow_reader(environment, client)
                 client.sendall(request("a") + request("b"))
                 await until(lambda: len(server.received) == 2)
-                assert open_requests(node) == 1
+                assert open_request_count(node) == 1
                 client.shutdown(socket.SHUT_WR)
-                async with asyncio.timeout(5.0):  # its budget is 20 s
-                    await until(lambda: open_requests(node) == 0)
-                assert open_connections(environment) == 1  # what was written has not been read yet
+                async with asyncio.timeout(5.0):  # the budget of the request is 20 s
+                    await until(lambda: open_request_count(node) == 0)
+                assert open_connection_count(environment) == 1  # the first response is still unread
 
     run(test())
 
 
 @pytest.mark.usefixtures("long_flush_timeout")
-def test_what_waits_behind_a_caller_that_does_not_read_is_not_sent_once_that_has_left(tmp_path: Path) -> None:
-    """Nothing is read from it meanwhile, nor is its end: its next request must not be sent all the same."""
+def test_requests_queued_while_the_client_does_not_read_are_not_sent_once_it_has_disconnected(
+    tmp_path: Path,
+) -> None:
+    """While reading is paused, the EOF stays unread too, so the node must poll for it before it sends."""
 
     async def test() -> None:
         server = Server(default=render_response(200, b"x" * 65536))
@@ -147,20 +153,18 @@
                 await until(lambda: connection._is_writing_paused)
                 client.sendall(b"".join(request(f"unread-{n}") for n in range(2)))
                 client.shutdown(socket.SHUT_WR)
-                sent = len(server.received)
+                sent_count = len(server.received)
                 while await asyncio.to_thread(client.recv, 65536):
                     pass
-                await until(lambda: open_connections(environment) == 0)
-                assert 1 <= sent < 8 and len(server.received) == sent
+                await until(lambda: open_connection_count(environment) == 0)
+                assert 1 <= sent_count < 8 and len(server.received) == sent_count
 
     run(test())
 
 
-@pytest.mark.parametrize("is_used", [True, False], ids=["kept", "new"])
-def test_a_request_that_crosses_the_limit_of_a_silent_connection_is_answered(
-    is_used: bool, tmp_path: Path
-) -> None:
-    """Closed over an unread request, the connection would be reset."""
+@pytest.mark.parametrize("is_used", [True, False], ids=["idle connection", "new connection"])
+def test_a_request_unread_when_the_state_timeout_expires_is_answered(is_used: bool, tmp_path: Path) -> None:
+    """Closing the socket with an unread request would reset the connection."""
     state = ConnectionState.IDLE if is_used else ConnectionState.AWAITING_FIRST_REQUEST
 
     async def test() -> None:
@@ -170,38 +174,40 @@
                 if is_used:
                     client.sendall(request("a"))
                     assert is_ok(await receive(client))
-                await until(lambda: state_count(node, state) == 1)
+                await until(lambda: count_in_state(node, state) == 1)
                 [connection] = node.frontend.connections.all()
-                client.sendall(request("b"))  # the event loop has no turn till the next await
+                client.sendall(request("b"))  # the event loop does not read it before the next await
                 connection.handle_timeout()
                 assert is_ok(await receive(client))
 
     run(test())
 
 
-def test_those_whose_request_waits_to_be_read_do_not_go_for_new_callers(tmp_path: Path) -> None:
-    """Nor are they evicted where all of them connect within one turn of the event loop."""
-    max_connections = 35  # that follow from the sockets
+def test_connections_with_an_unread_request_are_not_evicted_for_new_ones(tmp_path: Path) -> None:
+    """All clients connect within one iteration of the event loop, so their requests are still unread."""
+    max_connections = 35  # the node derives this from its limit of 64 sockets
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), sockets=64, tier=1) as environment:
             await ready_node(environment)
-            requesting = []
+            active_clients = []
             for number in range(3):
                 client = socket.create_connection(environment.address, LIMIT_S)
                 client.sendall(request(f"{number}"))
-                requesting.append(client)
-            silent = [socket.create_connection(environment.address, LIMIT_S) for _ in range(max_connections)]
-            for client in requesting:  # the event loop has had no turn so far
+                active_clients.append(client)
+            silent_clients = [
+                socket.create_connection(environment.address, LIMIT_S) for _ in range(max_connections)
+            ]
+            for client in active_clients:  # the event loop has not run since the first client connected
                 assert is_ok(await receive(client))
-            assert open_connections(environment) <= max_connections
-            for client in requesting + silent:
+            assert open_connection_count(environment) <= max_connections
+            for client in active_clients + silent_clients:
                 client.close()
 
     run(test())
 
 
-def test_a_huge_body_is_refused_before_it_comes_and_the_refusal_can_be_read(tmp_path: Path) -> None:
+def test_an_announced_body_over_the_limit_is_rejected_early_with_a_readable_413(tmp_path: Path) -> None:
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
             client = await environment.client()
@@ -214,8 +220,8 @@
     run(test())
 
 
-def test_an_id_that_comes_again_while_its_old_attempt_is_out_gets_its_own_answer(tmp_path: Path) -> None:
-    """The client's id does not tell the two apart: the response to one must not end the other."""
+def test_a_request_id_reused_while_its_old_attempt_is_in_flight_gets_the_new_response(tmp_path: Path) -> None:
+    """Both requests have the same X-Call-Id, and the response to one must not complete the other."""
 
     async def test() -> None:
         server = Server(render_response(200, b"old"), render_response(200, b"new"))
@@ -226,7 +232,7 @@
             disconnected.write(request("a"))
             await until(lambda: len(server.received) == 1)
             disconnected.writer.close()
-            await until(lambda: open_requests(node) == 0)
+            await until(lambda: open_request_count(node) == 0)
             repeating = await environment.client()
             repeating.write(request("a"))
             await until(lambda: len(server.received) == 2)
@@ -235,13 +241,13 @@
             await until(lambda: not node._attempts.in_flight)
             balancer = node._balancer
             assert balancer.in_flight == 0
-            assert all(not known.in_flight for known in balancer.fleet.servers.values())
+            assert all(not each.in_flight for each in balancer.fleet.servers.values())
 
     run(test())
 
 
-def test_after_churn_nothing_is_left_in_the_books(tmp_path: Path) -> None:
-    """New ids, clients and servers all the time, each server at the address of the one that was removed."""
+def test_removed_clients_servers_and_requests_leave_no_state_behind(tmp_path: Path) -> None:
+    """Each round uses a new request id, client and server name, all servers having the same address."""
 
     async def test() -> None:
         server = Server(name="s0")
@@ -254,20 +260,26 @@
                 )
                 await until(lambda n=n: environment.agent.watches() == n + 1)  # type: ignore[misc]
                 environment.clients.pop().writer.close()
-            await until(lambda: open_connections(environment) == 0)
-            module = node._balancer
+            await until(lambda: open_connection_count(environment) == 0)
+            balancer = node._balancer
             assert (
-                open_requests(node) == 0 and not node._attempts.in_flight and not node._policy.pending_count()
+                open_request_count(node) == 0
+                and not node._attempts.in_flight
+                and not node._policy.pending_count()
             )
             assert (
                 len(node._endpoints.addresses)
                 == len(node._endpoints.in_service)
-                == len(module.fleet.servers)
+                == len(balancer.fleet.servers)
                 == 1
             )
-            assert not module._calls and not module._timers._calls and not any(module._queue._queues.values())
             assert (
-                len(module.retry_policy._requests._times_ms) + len(module.retry_policy._retries._times_ms)
+                not balancer._calls
+                and not balancer._timers._calls
+                and not any(balancer._queue._queues.values())
+            )
+            assert (
+                len(balancer.retry_policy._requests._times_ms) + len(balancer.retry_policy._retries._times_ms)
                 <= 2
             )
             assert node._upstream.connection_count() <= 1
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,7 +1,8 @@
-"""Clients that disconnect while the event loop is busy: their end is unread, and nothing more may be sent.
+"""Clients that disconnect while the event loop is busy: no attempt may be sent for them afterwards.
 
-Each test closes the client's socket and then keeps the loop from running for longer than the 0.1 s after
-which an attempt for it counts as wrong: what was received meanwhile is processed in one turn.
+Each test closes the client's socket and then blocks the event loop, so that everything received in the
+meantime is handled in one iteration. The loop is blocked for longer than 0.1 s, after which an attempt for a
+disconnected client counts as an error.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 import pytest
 
-from tests.client_helpers import connect, open_requests, running_node
+from tests.client_helpers import connect, open_request_count, running_node
 from tests.peers import (
     HANG,
     LIMIT_S,
@@ -29,7 +30,7 @@
 )
 from workspond.policy import request_queue
 
-BUSY_S = 0.3  # for which the event loop does not run
+BLOCKED_S = 0.3  # the time for which the event loop is blocked
 
 
 def close(client: socket.socket) -> None:
@@ -45,17 +46,17 @@
     client.close()
 
 
-Leave = Callable[[socket.socket], None]
-each_way_to_leave = pytest.mark.parametrize("leave", [close, half_close, reset])
+Disconnect = Callable[[socket.socket], None]
+each_kind_of_disconnect = pytest.mark.parametrize("disconnect", [close, half_close, reset])
 
 
-def leave_while_loop_is_busy(client: socket.socket, leave: Leave) -> None:
-    leave(client)
-    time.sleep(BUSY_S)
+def disconnect_and_block_the_loop(client: socket.socket, disconnect: Disconnect) -> None:
+    disconnect(client)
+    time.sleep(BLOCKED_S)
 
 
 def answer_now(server: Server) -> None:
-    """Write a response on the server's connections at once, without a turn of the loop."""
+    """Write a response on the server's connections without running the event loop."""
     for writer in server._writers:
         writer.write(render_response())
 
@@ -64,13 +65,13 @@
     """Wait until the node has no open request and no attempt in flight."""
     node = running_node(environment)
     await until(
-        lambda: not open_requests(node) and not node._attempts.in_flight and not node._balancer._calls
+        lambda: not open_request_count(node) and not node._attempts.in_flight and not node._balancer._calls
     )
 
 
-@each_way_to_leave
-def test_a_first_attempt(leave: Leave, tmp_path: Path) -> None:
-    """The request and the end of its client are read in one turn."""
+@each_kind_of_disconnect
+def test_first_attempt_of_a_disconnected_client_is_not_sent(disconnect: Disconnect, tmp_path: Path) -> None:
+    """The request and the client's disconnect are read in the same iteration of the event loop."""
 
     async def test() -> None:
         server = Server()
@@ -80,7 +81,7 @@
                     await environment.ask("before")
                 ).status == 200  # leaves an idle connection to the server
                 client.sendall(request("abandoned"))
-                leave_while_loop_is_busy(client, leave)
+                disconnect_and_block_the_loop(client, disconnect)
                 assert (await environment.ask("next")).status == 200
                 await all_requests_finished(environment)
                 assert [seen.request_id for seen in server.received] == ["before", "next"]
@@ -88,49 +89,50 @@
     run(test())
 
 
-@each_way_to_leave
-def test_a_retry_that_comes_due(leave: Leave, tmp_path: Path) -> None:
-    """A reset reaches the node a turn after it was read, and timers run in between."""
+@each_kind_of_disconnect
+def test_due_retry_of_a_disconnected_client_is_not_sent(disconnect: Disconnect, tmp_path: Path) -> None:
+    """The event loop reports a reset one iteration after it has read it, and timers run in between."""
 
     async def test() -> None:
         server = Server(default=render_response(500))
         async with node_environment(tmp_path, server) as environment:
-            module = running_node(environment)._balancer
+            balancer = running_node(environment)._balancer
             with await connect(environment) as client:
                 client.sendall(request("abandoned"))
                 await until(
-                    lambda: bool(server.received) and bool(module._timers._calls) and not module.in_flight
+                    lambda: bool(server.received) and bool(balancer._timers._calls) and not balancer.in_flight
                 )
-                sent = len(server.received)
-                leave_while_loop_is_busy(client, leave)
+                sent_count = len(server.received)
+                disconnect_and_block_the_loop(client, disconnect)
                 await all_requests_finished(environment)
-                assert len(server.received) == sent
+                assert len(server.received) == sent_count
 
     run(test())
 
 
-@each_way_to_leave
-def test_what_waits_for_a_slot(leave: Leave, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The slot becomes free in the turn in which the end is read, before it."""
-    monkeypatch.setattr(
-        request_queue, "MAX_WAIT_FRACTION_FIRST_TIER", 0.9
-    )  # 450 ms: longer than the loop is busy
+@each_kind_of_disconnect
+def test_request_queued_for_a_server_of_a_disconnected_client_is_not_sent(
+    disconnect: Disconnect, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """In the iteration in which the disconnect is read, the server has capacity again before that."""
+    # The maximum wait in the queue becomes 450 ms, which is longer than the event loop is blocked.
+    monkeypatch.setattr(request_queue, "MAX_WAIT_FRACTION_FIRST_TIER", 0.9)
     monkeypatch.setattr(request_queue, "MAX_WAIT_FRACTION_LATER_TIERS", 0.9)
 
     async def test() -> None:
         server = Server(HANG)
         async with node_environment(tmp_path, server) as environment:
-            module = running_node(environment)._balancer
+            balancer = running_node(environment)._balancer
             with await connect(environment) as client:
                 first = await environment.client()
-                for known in module.fleet.servers.values():
-                    known.in_flight_limit = 1.0
+                for each in balancer.fleet.servers.values():
+                    each.in_flight_limit = 1.0
                 first.write(request("first"))
                 await until(lambda: len(server.received) == 1)
                 client.sendall(request("abandoned"))
-                await until(lambda: len(module._calls) == 2)
+                await until(lambda: len(balancer._calls) == 2)
                 answer_now(server)
-                leave_while_loop_is_busy(client, leave)
+                disconnect_and_block_the_loop(client, disconnect)
                 assert (await first.read()).status == 200
                 await all_requests_finished(environment)
                 assert (await first.ask("next")).status == 200
@@ -139,9 +141,11 @@
     run(test())
 
 
-@each_way_to_leave
-def test_what_is_queued_behind_another_request(leave: Leave, tmp_path: Path) -> None:
-    """The response to the first one is read in the turn in which the end is, before it."""
+@each_kind_of_disconnect
+def test_pipelined_request_of_a_disconnected_client_is_not_sent(
+    disconnect: Disconnect, tmp_path: Path
+) -> None:
+    """The response to the first request is read in the same iteration as the disconnect, before it."""
 
     async def test() -> None:
         server = Server(HANG)
@@ -150,7 +154,7 @@
                 client.sendall(request("first") + request("abandoned"))
                 await until(lambda: len(server.received) == 1)
                 answer_now(server)
-                leave_while_loop_is_busy(client, leave)
+                disconnect_and_block_the_loop(client, disconnect)
                 await all_requests_finished(environment)
                 assert (await environment.ask("next")).status == 200
                 assert [seen.request_id for seen in server.received] == ["first", "next"]
@@ -160,34 +164,37 @@
 
 @contextlib.contextmanager
 def server_with_full_backlog() -> Iterator[socket.socket]:
-    """A listening socket that accepts nothing: handshakes hang until the first connection is accepted."""
-    with socket.socket() as listener, socket.socket() as filler:
+    """Listen with a full backlog, so that handshakes hang until the first connection is accepted."""
+    with socket.socket() as listener, socket.socket() as backlog_filler:
         listener.bind(("127.0.0.1", 0))
-        listener.listen(0)  # full with one connection
+        listener.listen(0)  # the backlog holds one connection
         listener.settimeout(LIMIT_S)
-        filler.connect(listener.getsockname())
+        backlog_filler.connect(listener.getsockname())
         yield listener
 
 
-@each_way_to_leave
-def test_a_dial_that_comes_up(leave: Leave, tmp_path: Path) -> None:
-    """The end of the client is read before the connection to the server is up."""
+@each_kind_of_disconnect
+def test_request_awaiting_a_new_connection_of_a_disconnected_client_is_not_sent(
+    disconnect: Disconnect, tmp_path: Path
+) -> None:
+    """The client's disconnect is read before the connection to the server has opened."""
 
     async def test() -> None:
-        with server_with_full_backlog() as slow:
+        with server_with_full_backlog() as slow_server:
             async with node_environment(tmp_path, known=False) as environment:
-                entry = {"name": "slow", "address": f"127.0.0.1:{slow.getsockname()[1]}", "status": "active"}
-                environment.agent.endpoints = [entry]
+                address = f"127.0.0.1:{slow_server.getsockname()[1]}"
+                environment.agent.endpoints = [{"name": "slow", "address": address, "status": "active"}]
                 node = running_node(environment)
                 with await connect(environment) as client:
                     client.sendall(request("abandoned"))
                     await until(lambda: len(node._upstream._connecting) == 1)
-                    leave_while_loop_is_busy(client, leave)
-                    # The second connection comes up once its handshake is sent again, after 1 s.
-                    with slow.accept()[0], slow.accept()[0] as dialled:
+                    disconnect_and_block_the_loop(client, disconnect)
+                    # The second connection opens after 1 s, when the kernel retries the handshake.
+                    with slow_server.accept()[0], slow_server.accept()[0] as connection:
                         await all_requests_finished(environment)
-                        dialled.setblocking(False)
-                        with contextlib.suppress(BlockingIOError):  # idle in the pool, or
-                            assert dialled.recv(1) == b""  # closed
+                        connection.setblocking(False)
+                        # The node may keep the connection idle (BlockingIOError) or close it (b"").
+                        with contextlib.suppress(BlockingIOError):
+                            assert connection.recv(1) == b""
 
     run(test())
--- a/tests/test_connections_at_shutdown.py
+++ b/tests/test_connections_at_shutdown.py
@@ -1,4 +1,4 @@
-"""Connections of clients while the node shuts down gracefully."""
+"""Client connections during a graceful shutdown of the node."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     INCOMPLETE_REQUESTS,
     connect,
     is_ok,
-    open_connections,
-    open_requests,
+    open_connection_count,
+    open_request_count,
     ready_node,
     receive,
     running_node,
@@ -25,14 +25,14 @@
 
 @pytest.fixture
 def no_state_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No connection is closed because its client is slow, though timeouts are checked often."""
+    """Make the state timeouts longer than any test, and check them often."""
     monkeypatch.setattr(frontend, "SWEEP_INTERVAL_S", 0.02)
     for state in connection_states.STATE_TIMEOUTS_S:
         monkeypatch.setitem(connection_states.STATE_TIMEOUTS_S, state, 1000.0)
 
 
 @pytest.mark.usefixtures("no_state_timeouts")
-def test_a_planned_end_does_not_wait_for_callers_that_neither_ask_nor_read(
+def test_shutdown_does_not_wait_for_a_client_that_sent_an_incomplete_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_MS", 300.0)
@@ -43,20 +43,20 @@
         async with node_environment(tmp_path, server) as environment:
             incomplete = await environment.client()
             served = await environment.client()
-            incomplete.write(INCOMPLETE_REQUESTS["half a body"])
+            incomplete.write(INCOMPLETE_REQUESTS["incomplete body"])
             assert (await served.ask("before")).status == 200
             stopping = asyncio.ensure_future(running_node(environment).stop(0.0))
             await asyncio.sleep(0)
-            # A connection that stays open is served on.
+            # An open connection is still served.
             assert (await served.ask("during")).status == 200
             await asyncio.wait_for(stopping, LIMIT_S)
-            await until(lambda: open_connections(environment) == 0)
+            await until(lambda: open_connection_count(environment) == 0)
 
     run(test())
 
 
-def test_new_connections_are_served_as_long_as_open_ones_while_the_node_ends(tmp_path: Path) -> None:
-    """Clients of a single node that are refused a new connection give up their open ones too."""
+def test_new_connections_are_served_as_long_as_open_ones_during_shutdown(tmp_path: Path) -> None:
+    """A client of a single node that is refused a new connection closes its open connections too."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
@@ -73,8 +73,8 @@
     run(test())
 
 
-def test_the_time_to_end_follows_the_settings_not_the_budgets_seen(tmp_path: Path) -> None:
-    """After a request with a budget of 50 ms, one with a longer budget must still have its time."""
+def test_shutdown_duration_follows_the_settings_not_the_budgets_of_earlier_requests(tmp_path: Path) -> None:
+    """After a request with a budget of 50 ms, a request with a longer budget must still get its full time."""
 
     async def test() -> None:
         server = Server()
@@ -86,7 +86,7 @@
             await asyncio.sleep(0)
             client.write(request("long", budget="2.5"))
             await until(lambda: len(server.received) == 2)
-            await asyncio.sleep(1.0)  # the platform leaves the node 3.7 s
+            await asyncio.sleep(1.0)  # the platform kills the node only after 3.7 s
             server.gate.set()
             assert (await client.read()).status == 200
             await asyncio.wait_for(stopping, LIMIT_S)
@@ -94,15 +94,13 @@
     run(test())
 
 
-def test_a_connection_that_only_the_kernel_has_accepted_is_served_when_the_listener_closes(
-    tmp_path: Path,
-) -> None:
-    """Closing the listening socket alone would reset it, and lose its request."""
+def test_a_connection_in_the_backlog_is_served_when_the_listener_closes(tmp_path: Path) -> None:
+    """Closing the listening socket would reset a connection in the backlog and lose its request."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
             node = await ready_node(environment)
-            # The event loop has no turn till the next await.
+            # The event loop does not run before the next await.
             with socket.create_connection(environment.address, LIMIT_S) as client:
                 client.sendall(request("a"))
                 await node.frontend.close_listener()
@@ -113,11 +111,11 @@
     run(test())
 
 
-@pytest.mark.parametrize("is_used", [True, False], ids=["kept", "new"])
-def test_a_request_that_the_loop_has_not_read_is_answered_before_its_connection_is_closed(
+@pytest.mark.parametrize("is_used", [True, False], ids=["idle connection", "new connection"])
+def test_a_request_unread_when_the_drain_starts_is_answered_before_the_connection_closes(
     is_used: bool, tmp_path: Path
 ) -> None:
-    """The node has accepted the connection; closing it over an unread request would reset it."""
+    """Closing the socket with an unread request would reset the connection."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
@@ -125,7 +123,7 @@
                 if is_used:
                     client.sendall(request("a"))
                     assert is_ok(await receive(client))
-                client.sendall(request("b"))  # the event loop has no turn till the drain
+                client.sendall(request("b"))  # the event loop does not run before the drain
                 await running_node(environment).frontend.drain()
                 response = await receive(client)
                 assert is_ok(response) and b"Connection: close" in response
@@ -133,10 +131,10 @@
     run(test())
 
 
-def test_what_is_taken_while_the_node_ends_is_answered_before_it_has_ended(
+def test_requests_accepted_during_shutdown_are_answered_before_the_node_stops(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its budget may reach past the moment at which the platform kills the node: it must not be open then."""
+    """The budget of a request may end after the platform kills the node, which must have answered by then."""
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_MS", 300.0)
 
     async def test() -> None:
@@ -145,7 +143,7 @@
             before = await environment.client()
             during = await environment.client()
             before.write(request("a", "pay", budget="20"))
-            await until(lambda: open_requests(node) > 0)
+            await until(lambda: open_request_count(node) > 0)
             stopping = asyncio.ensure_future(node.stop(0.0))
             await asyncio.sleep(0)
             assert (await during.ask("b", "pay", budget="20")).status in (502, 504)
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.client_helpers import open_connections, open_requests, running_node
+from tests.client_helpers import open_connection_count, open_request_count, running_node
 from tests.peers import Server, node_environment, render_response, request, run, until
 
 PIPELINED = 20  # more requests than the node queues
@@ -75,7 +75,7 @@
             assert error.headers["connection"] == "close"
             assert await client.closed()
             assert time.monotonic() - began_s < 3.0
-            assert open_requests(running_node(environment)) == 0
+            assert open_request_count(running_node(environment)) == 0
             server.gate.set()
 
     run(test())
@@ -126,8 +126,8 @@
             client.writer.close()
             await asyncio.sleep(0.1)
             server.gate.set()
-            await until(lambda: open_connections(environment) == 0)
-            assert open_requests(running_node(environment)) == 0
+            await until(lambda: open_connection_count(environment) == 0)
+            assert open_request_count(running_node(environment)) == 0
             assert len(server.received) <= 2
 
     run(test())
