--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -21,7 +21,7 @@
 )
 from tests.peers import (
     HANG,
-    LIMIT_S,
+    WAIT_TIMEOUT_S,
     NodeEnvironment,
     Server,
     node_environment,
@@ -61,7 +61,7 @@
         async with node_environment(tmp_path, Server()) as environment:
             client = await environment.client()
             if is_used:
-                assert (await client.ask("before")).status == 200
+                assert (await client.send_request("before")).status == 200
             client.write(data)
             assert (await client.read()).status == 408
             assert await client.closed()
@@ -76,11 +76,11 @@
         server = Server()
         async with node_environment(tmp_path, server) as environment:
             silent, idle, waiting = [await environment.client() for _ in range(3)]
-            assert (await idle.ask("idle")).status == 200
-            server.gate.clear()
+            assert (await idle.send_request("idle")).status == 200
+            server.may_respond.clear()
             waiting.write(request("waiting"))
             assert await silent.closed() and await idle.closed()
-            server.gate.set()
+            server.may_respond.set()
             assert (await waiting.read()).status == 200
 
     run(test())
@@ -148,7 +148,7 @@
         async with node_environment(tmp_path, server) as environment:
             with socket.socket() as client:
                 connection = await connect_slow_reader(environment, client)
-                client.settimeout(LIMIT_S)
+                client.settimeout(WAIT_TIMEOUT_S)
                 client.sendall(b"".join(request(f"{n}") for n in range(8)))
                 await until(lambda: connection._is_writing_paused)
                 client.sendall(b"".join(request(f"unread-{n}") for n in range(2)))
@@ -192,11 +192,11 @@
             await ready_node(environment)
             active_clients = []
             for number in range(3):
-                client = socket.create_connection(environment.address, LIMIT_S)
+                client = socket.create_connection(environment.address, WAIT_TIMEOUT_S)
                 client.sendall(request(f"{number}"))
                 active_clients.append(client)
             silent_clients = [
-                socket.create_connection(environment.address, LIMIT_S) for _ in range(max_connections)
+                socket.create_connection(environment.address, WAIT_TIMEOUT_S) for _ in range(max_connections)
             ]
             for client in active_clients:  # the event loop has not run since the first client connected
                 assert is_ok(await receive(client))
@@ -225,7 +225,7 @@
 
     async def test() -> None:
         server = Server(render_response(200, b"old"), render_response(200, b"new"))
-        server.gate.clear()
+        server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             node = running_node(environment)
             disconnected = await environment.client()
@@ -236,7 +236,7 @@
             repeating = await environment.client()
             repeating.write(request("a"))
             await until(lambda: len(server.received) == 2)
-            server.gate.set()
+            server.may_respond.set()
             assert (await repeating.read()).body == b"new"
             await until(lambda: not node._attempts.in_flight)
             balancer = node._balancer
@@ -254,7 +254,7 @@
         async with node_environment(tmp_path, server) as environment:
             node = running_node(environment)
             for n in range(1, 16):
-                assert (await environment.ask(f"{n}")).status == 200
+                assert (await environment.send_request(f"{n}")).status == 200
                 environment.agent.publish(
                     server.entry(name=f"s{n - 1}", status="left"), server.entry(name=f"s{n}")
                 )
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -19,7 +19,7 @@
 from tests.client_helpers import connect, open_request_count, running_node
 from tests.peers import (
     HANG,
-    LIMIT_S,
+    WAIT_TIMEOUT_S,
     NodeEnvironment,
     Server,
     node_environment,
@@ -78,11 +78,11 @@
         async with node_environment(tmp_path, server) as environment:
             with await connect(environment) as client:
                 assert (
-                    await environment.ask("before")
+                    await environment.send_request("before")
                 ).status == 200  # leaves an idle connection to the server
                 client.sendall(request("abandoned"))
                 disconnect_and_block_the_loop(client, disconnect)
-                assert (await environment.ask("next")).status == 200
+                assert (await environment.send_request("next")).status == 200
                 await all_requests_finished(environment)
                 assert [seen.request_id for seen in server.received] == ["before", "next"]
 
@@ -135,7 +135,7 @@
                 disconnect_and_block_the_loop(client, disconnect)
                 assert (await first.read()).status == 200
                 await all_requests_finished(environment)
-                assert (await first.ask("next")).status == 200
+                assert (await first.send_request("next")).status == 200
                 assert [seen.request_id for seen in server.received] == ["first", "next"]
 
     run(test())
@@ -156,7 +156,7 @@
                 answer_now(server)
                 disconnect_and_block_the_loop(client, disconnect)
                 await all_requests_finished(environment)
-                assert (await environment.ask("next")).status == 200
+                assert (await environment.send_request("next")).status == 200
                 assert [seen.request_id for seen in server.received] == ["first", "next"]
 
     run(test())
@@ -168,7 +168,7 @@
     with socket.socket() as listener, socket.socket() as backlog_filler:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)  # the backlog holds one connection
-        listener.settimeout(LIMIT_S)
+        listener.settimeout(WAIT_TIMEOUT_S)
         backlog_filler.connect(listener.getsockname())
         yield listener
 
--- a/tests/test_connections_at_shutdown.py
+++ b/tests/test_connections_at_shutdown.py
@@ -18,7 +18,7 @@
     receive,
     running_node,
 )
-from tests.peers import HANG, LIMIT_S, Server, node_environment, request, run, until
+from tests.peers import HANG, WAIT_TIMEOUT_S, Server, node_environment, request, run, until
 from workspond import graceful_shutdown
 from workspond.downstream import connection_states, frontend
 
@@ -44,12 +44,12 @@
             incomplete = await environment.client()
             served = await environment.client()
             incomplete.write(INCOMPLETE_REQUESTS["incomplete body"])
-            assert (await served.ask("before")).status == 200
+            assert (await served.send_request("before")).status == 200
             stopping = asyncio.ensure_future(running_node(environment).stop(0.0))
             await asyncio.sleep(0)
             # An open connection is still served.
-            assert (await served.ask("during")).status == 200
-            await asyncio.wait_for(stopping, LIMIT_S)
+            assert (await served.send_request("during")).status == 200
+            await asyncio.wait_for(stopping, WAIT_TIMEOUT_S)
             await until(lambda: open_connection_count(environment) == 0)
 
     run(test())
@@ -61,11 +61,11 @@
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
             open_before = await environment.client()
-            assert (await open_before.ask("a")).status == 200
+            assert (await open_before.send_request("a")).status == 200
             stopping = asyncio.create_task(running_node(environment).stop(0.0))
             await asyncio.sleep(0.1)
-            assert (await environment.ask("b")).status == 200
-            assert (await open_before.ask("c")).status == 200
+            assert (await environment.send_request("b")).status == 200
+            assert (await open_before.send_request("c")).status == 200
             await stopping
             with pytest.raises(ConnectionError):
                 await environment.client()
@@ -80,16 +80,16 @@
         server = Server()
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
-            assert (await client.ask("short", budget="0.05")).status == 200
-            server.gate.clear()
+            assert (await client.send_request("short", budget="0.05")).status == 200
+            server.may_respond.clear()
             stopping = asyncio.ensure_future(running_node(environment).stop())
             await asyncio.sleep(0)
             client.write(request("long", budget="2.5"))
             await until(lambda: len(server.received) == 2)
             await asyncio.sleep(1.0)  # the platform kills the node only after 3.7 s
-            server.gate.set()
+            server.may_respond.set()
             assert (await client.read()).status == 200
-            await asyncio.wait_for(stopping, LIMIT_S)
+            await asyncio.wait_for(stopping, WAIT_TIMEOUT_S)
 
     run(test())
 
@@ -101,7 +101,7 @@
         async with node_environment(tmp_path, Server()) as environment:
             node = await ready_node(environment)
             # The event loop does not run before the next await.
-            with socket.create_connection(environment.address, LIMIT_S) as client:
+            with socket.create_connection(environment.address, WAIT_TIMEOUT_S) as client:
                 client.sendall(request("a"))
                 await node.frontend.close_listener()
                 assert is_ok(await receive(client))
@@ -146,8 +146,8 @@
             await until(lambda: open_request_count(node) > 0)
             stopping = asyncio.ensure_future(node.stop(0.0))
             await asyncio.sleep(0)
-            assert (await during.ask("b", "pay", budget="20")).status in (502, 504)
+            assert (await during.send_request("b", "pay", budget="20")).status in (502, 504)
             assert (await before.read()).status in (502, 504)
-            await asyncio.wait_for(stopping, LIMIT_S)
+            await asyncio.wait_for(stopping, WAIT_TIMEOUT_S)
 
     run(test())
