--- a/tests/test_close_framed.py
+++ b/tests/test_close_delimited_responses.py
@@ -1,4 +1,4 @@
-"""Responses with no length: an orderly end of the connection completes them, a reset does not."""
+"""Responses without a length: an orderly close of the connection completes them, a reset does not."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n"
 
 
-def test_an_answer_with_no_length_ends_with_its_connection(tmp_path: Path) -> None:
-    """Such responses once counted as malformed, and none was forwarded."""
+def test_a_response_without_a_length_is_complete_when_the_connection_closes(tmp_path: Path) -> None:
+    """Guards against treating such responses as malformed and not forwarding them."""
 
     async def test() -> None:
         server = Server(HEAD + b"until the end" + CLOSE, HEAD + CLOSE)
@@ -27,7 +27,7 @@
     run(test())
 
 
-def test_a_refusal_with_no_length_is_a_refusal(tmp_path: Path) -> None:
+def test_a_rejection_without_a_length_is_retried(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n\r\n" + CLOSE)
         async with node_environment(tmp_path, server) as environment:
@@ -37,7 +37,7 @@
     run(test())
 
 
-def test_an_answer_with_no_length_and_no_end_fails_in_its_time(tmp_path: Path) -> None:
+def test_a_response_without_a_length_on_an_open_connection_times_out(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(HEAD + b"without end")
         async with node_environment(tmp_path, server) as environment:
@@ -48,9 +48,9 @@
     run(test())
 
 
-@pytest.mark.parametrize("reset_comes", ["at once", "later"])
-def test_a_reset_right_after_the_last_byte_is_no_end(reset_comes: str, tmp_path: Path) -> None:
-    """The reset is read in the same turn of the loop as the body, or in a later one."""
+@pytest.mark.parametrize("reset_time", ["at once", "later"])
+def test_a_reset_after_a_body_without_a_length_fails_the_request(reset_time: str, tmp_path: Path) -> None:
+    """The reset is read in the same iteration of the event loop as the body, or in a later one."""
 
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -58,16 +58,16 @@
             entry = {"name": "s", "address": f"127.0.0.1:{listener.getsockname()[1]}", "status": "active"}
             async with node_environment(tmp_path, known=False) as environment:
                 environment.agent.endpoints = [entry]
-                caller = await environment.client()
+                client = await environment.client()
                 await until(lambda: environment.node is not None and environment.node.is_ready())
-                caller.write(request("a", "pay"))
+                client.write(request("a", "pay"))
                 connection, _ = await asyncio.to_thread(listener.accept)
                 await asyncio.to_thread(connection.recv, 65536)
                 connection.sendall(HEAD + b"complete, as it looks")
-                if reset_comes == "later":
+                if reset_time == "later":
                     await asyncio.sleep(0.1)
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 connection.close()
-                assert (await caller.read()).status == 502
+                assert (await client.read()).status == 502
 
     run(test())
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool by itself: attempts on its connections, without a node."""
+"""The connection pool without a node: attempts, reuse of connections and failures to connect."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class ScriptedHandler:
-    """Handles one attempt of a given request; `on_end` is called with its outcome."""
+    """The handler of an attempt with a given request; calls `on_end` with the outcome."""
 
     request: bytes
     on_end: Callable[[Outcome, ServerResponse | None], object]
@@ -67,14 +67,14 @@
         self.responses.append(response)
 
     async def outcome(self, count: int) -> Outcome:
-        """The last outcome, once there are so many."""
+        """Return the last outcome, once this number of attempts has ended."""
         await until(lambda: len(self.outcomes) == count)
         return self.outcomes[-1]
 
 
 @asynccontextmanager
 async def running(server: Server) -> AsyncIterator[PoolUnderTest]:
-    """A server that listens, and a pool for it."""
+    """Start a server, and provide a pool for it."""
     await server.start()
     try:
         yield PoolUnderTest(server.address)
@@ -83,22 +83,22 @@
 
 
 class ThreadedServer:
-    """A server in a thread of its own: it can act while the event loop is kept from seeing it."""
+    """A server in a separate thread, which can act while the event loop is blocked."""
 
     def __init__(self, *, reset: bool) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
         self._socket.settimeout(WAIT_TIMEOUT_S)
         self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
         self.requests: list[bytes] = []
-        self._resets_first = reset
-        self._first_may_end = threading.Event()
+        self._resets_first_connection = reset
+        self._may_end_first_connection = threading.Event()
         self._thread = threading.Thread(target=self._serve, daemon=True)  # no hang when a test fails
         self._thread.start()
 
     def _serve(self) -> None:
         first = self._answer_one()
-        self._first_may_end.wait(WAIT_TIMEOUT_S)
-        if self._resets_first:
+        self._may_end_first_connection.wait(WAIT_TIMEOUT_S)
+        if self._resets_first_connection:
             first.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         first.close()
         self._answer_one().close()
@@ -111,14 +111,14 @@
         return connection
 
     def end_first_connection(self) -> None:
-        """End it, and block the caller until that is done."""
-        self._first_may_end.set()
+        """Close or reset the first connection, and block until that is done."""
+        self._may_end_first_connection.set()
         time.sleep(0.05)
 
 
-@pytest.mark.parametrize("reset", [True, False], ids=["reset", "end"])
-def test_a_connection_whose_end_the_loop_has_not_seen_is_not_used_again(reset: bool) -> None:
-    """A request written to it would end in a reset that may have run: a non-idempotent one would fail."""
+@pytest.mark.parametrize("reset", [True, False], ids=["reset", "close"])
+def test_a_connection_closed_by_the_server_but_not_yet_read_is_not_reused(reset: bool) -> None:
+    """A request written to it would end in a reset and might have run, so it would fail if not idempotent."""
 
     async def test() -> None:
         server = ThreadedServer(reset=reset)
@@ -133,8 +133,8 @@
     run(test())
 
 
-def test_an_answer_that_came_in_time_counts_though_the_loop_reads_it_late() -> None:
-    """One turn of the loop outlasts the timeout; the timer runs before the response is read."""
+def test_a_response_received_before_the_timeout_but_read_after_it_is_a_success() -> None:
+    """One iteration of the event loop outlasts the timeout, and the timer runs before the loop reads."""
     timeout_s = 1.5
 
     async def test() -> None:
@@ -147,24 +147,24 @@
             connection, _ = await asyncio.to_thread(listener.accept)
             connection.settimeout(WAIT_TIMEOUT_S)
             assert await asyncio.to_thread(connection.recv, 65536)
-            inner, outer = socket.socketpair()
+            wakeup_reader, wakeup_writer = socket.socketpair()
 
             def answer_and_block_the_loop() -> None:
-                loop.remove_reader(inner)
+                loop.remove_reader(wakeup_reader)
                 connection.sendall(render_response())
                 time.sleep(max(0.0, sent_at_s + timeout_s + 0.2 - time.monotonic()))
 
-            loop.add_reader(inner, answer_and_block_the_loop)
-            outer.send(b"x")
+            loop.add_reader(wakeup_reader, answer_and_block_the_loop)
+            wakeup_writer.send(b"x")
             assert await client.outcome(1) is Outcome.SUCCESS
-            for peer in (connection, inner, outer):
-                peer.close()
+            for each in (connection, wakeup_reader, wakeup_writer):
+                each.close()
 
     run(test())
 
 
-def test_a_write_that_fails_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The last byte did not go out, so the request may be sent again, of whatever class."""
+def test_a_failed_write_ends_in_connect_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The last byte was not sent, so the request can't have run and may be retried in any class."""
     monkeypatch.setattr(ServerConnection, "is_usable", lambda self: self._is_open)
 
     async def test() -> None:
@@ -181,8 +181,8 @@
     run(test())
 
 
-def test_a_request_that_ended_while_its_connection_came_up_is_not_sent() -> None:
-    """Its server may drain, or the request end, while the connection opens: nothing is written."""
+def test_a_request_that_ended_while_its_connection_opened_is_not_sent() -> None:
+    """While the connection opens, the request may end or its server may start to drain."""
 
     async def test() -> None:
         server = Server()
@@ -191,7 +191,7 @@
             client.send("a", may_send=lambda: not ended.is_set())
             ended.set()
             assert await client.outcome(1) is Outcome.NOT_SENT
-            client.send("b")  # the connection itself is good, and used
+            client.send("b")  # reuses the connection
             assert await client.outcome(2) is Outcome.SUCCESS
             assert [seen.request_id for seen in server.received] == ["b"]
             assert server.accepted_connections == 1
@@ -199,7 +199,7 @@
     run(test())
 
 
-def test_connections_are_dropped_well_before_the_servers_idle_limit() -> None:
+def test_idle_connections_are_closed_before_the_keepalive_time_of_the_server() -> None:
     async def test() -> None:
         server = Server()
         async with running(server):
@@ -212,7 +212,7 @@
     run(test())
 
 
-def test_the_most_recently_used_connection_comes_first_and_idle_ones_can_be_closed() -> None:
+def test_the_most_recently_used_connection_is_reused_and_close_idle_closes_all() -> None:
     async def test() -> None:
         server = Server()
         server.may_respond.clear()
@@ -233,7 +233,7 @@
 
 
 class RepeatingServer(Server):
-    """Answers the first request a second time, as soon as the next one has come."""
+    """A server that answers the first request a second time when the next request arrives."""
 
     async def script(self, message: Message) -> bytes:
         if message.request_id == "a":
@@ -243,11 +243,11 @@
         return render_response(200, b"for " + message.request_id.encode())
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_that_to_the_next_request(
+def test_a_late_second_response_is_not_taken_for_the_response_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing in a response tells which request it is for, so a connection rests before the next is sent."""
-    # The next request comes within the delay on any machine.
+    """Responses do not identify their request, so a connection is reused only after a delay."""
+    # The delay is long enough for the next request to be sent within it on any machine.
     monkeypatch.setattr(server_connection, "REUSE_DELAY_MS", 60_000.0)
 
     async def test() -> None:
@@ -258,14 +258,14 @@
             assert await client.outcome(2) is Outcome.SUCCESS
             bodies = [response.body for response in client.responses if response is not None]
             assert bodies == [b"for a", b"for b"]
-            # The first connection is closed as a response comes on it that no request is open for.
+            # The first connection is closed, because a response arrives on it that no request awaits.
             await until(lambda: client.pool.connection_count() == 1)
 
     run(test())
 
 
 class FailingLoop:
-    """The event loop, but connecting fails with a given error."""
+    """The running event loop, except that connecting fails with a given error."""
 
     def __init__(self, error: Exception) -> None:
         self._error = error
@@ -286,7 +286,7 @@
         (RuntimeError("a fault"), Outcome.CONNECT_FAILED),
     ],
 )
-def test_a_dial_that_fails_ends_its_attempt_and_our_own_shortage_is_not_the_servers(
+def test_a_failure_to_connect_is_connect_failed_and_a_local_shortage_not_sent(
     error: Exception, outcome: Outcome, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -300,7 +300,7 @@
     run(test())
 
 
-def test_an_attempt_without_room_for_its_socket_never_ran_and_is_not_the_servers_failure() -> None:
+def test_an_attempt_without_an_available_descriptor_is_not_sent() -> None:
     async def test() -> None:
         server = Server()
         async with running(server) as client:
@@ -312,13 +312,13 @@
     run(test())
 
 
-def test_a_dial_that_is_called_off_leaves_no_connection() -> None:
+def test_an_attempt_aborted_while_connecting_leaves_no_connection() -> None:
     async def test() -> None:
         server = Server()
         async with running(server) as client:
             for n in range(20):
                 attempt = client.send("a")
-                for _ in range(n % 4):  # at each step of connecting
+                for _ in range(n % 4):  # aborts at each step of connecting
                     await asyncio.sleep(0)
                 attempt.abort(Outcome.CANCELLED)
             assert client.outcomes == [Outcome.CANCELLED] * 20
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A process whose descriptors idle clients use up, by a real limit, while the discovery agent is down."""
+"""A node whose descriptors are used up by idle clients while the discovery agent is down."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from tests.peers import HANG, Client, ScriptedDiscoveryAgent, Server, node_environment, request, run, until
 from tests.program import Program
 
-MAX_UPDATE_LATENCY_S = 6.0  # from the agent's return to the node's next watch
-MAX_RELOAD_LATENCY_S = 4.0  # from SIGHUP to a watch at the new address
-PENDING_REQUESTS = 4  # clients that wait for a response
+MAX_UPDATE_LATENCY_S = 6.0  # counted from the agent's recovery to the node's next watch
+MAX_RELOAD_LATENCY_S = 4.0  # counted from SIGHUP to a watch at the new address
+PENDING_REQUEST_COUNT = 4
 READY_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
 
 Address = tuple[str, int]
@@ -33,8 +33,8 @@
 
 
 @pytest.fixture
-def sockets_for_clients() -> Iterator[None]:
-    """A higher limit for the test itself: it holds as many sockets as the program, and more."""
+def raised_descriptor_limit() -> Iterator[None]:
+    """Raise the descriptor limit of the test process, which needs more sockets than the program."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = 4096 if hard == resource.RLIM_INFINITY else min(4096, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, wanted), hard))
@@ -43,14 +43,14 @@
 
 
 class IdleClients:
-    """Clients that connect and send nothing, many at once."""
+    """Many clients that connect and send nothing."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._sockets: list[socket.socket] = []
 
     async def connect(self, count: int) -> None:
-        """Connect so many more."""
+        """Connect a number of further clients."""
         for _ in range(count):
             client = socket.socket()
             client.setblocking(False)
@@ -65,9 +65,10 @@
 
 
 async def status_of(address: Address, data: bytes) -> int:
-    """Send a request, each time on a new connection, until one is not closed unread; its status."""
+    """Send a request on new connections until one connection is not closed; return the response's status."""
     while True:
-        with contextlib.suppress(ConnectionError, AssertionError):  # closed: "closed without an answer"
+        # The client raises an AssertionError if its connection is closed without a response.
+        with contextlib.suppress(ConnectionError, AssertionError):
             client = Client(*await asyncio.open_connection(*address))
             try:
                 client.write(data)
@@ -78,7 +79,7 @@
 
 
 async def until_ready(address: Address) -> None:
-    """Wait until the program has endpoints to send to."""
+    """Wait until the program is ready to serve requests."""
     while True:
         if await status_of(address, READY_CHECK) == 200:
             return
@@ -86,9 +87,9 @@
 
 
 async def send_pending_requests(address: Address) -> list[Client]:
-    """Clients with a request each to which there is no response yet."""
+    """Connect clients that send one request each and do not wait for the response."""
     clients = []
-    for number in range(PENDING_REQUESTS):
+    for number in range(PENDING_REQUEST_COUNT):
         client = Client(*await asyncio.open_connection(*address))
         client.write(request(f"held-{number}"))
         clients.append(client)
@@ -110,8 +111,8 @@
 
 
 @contextlib.asynccontextmanager
-async def started(*peers: Server | ScriptedDiscoveryAgent) -> AsyncIterator[None]:
-    """Peers that run apart from those of a scene."""
+async def running_peers(*peers: Server | ScriptedDiscoveryAgent) -> AsyncIterator[None]:
+    """Run peers that do not belong to a node environment."""
     for peer in peers:
         await peer.start()
     try:
@@ -121,33 +122,33 @@
             await peer.stop()
 
 
-@pytest.mark.usefixtures("sockets_for_clients")
+@pytest.mark.usefixtures("raised_descriptor_limit")
 @pytest.mark.parametrize("limit", [256, 512, 1024])
 @pytest.mark.parametrize("failure", AgentFailure, ids=lambda failure: failure.value)
-def test_a_node_full_of_idle_callers_hears_discovery_again_and_serves(
+def test_a_node_at_its_descriptor_limit_gets_endpoint_updates_reloads_and_serves(
     limit: int, failure: AgentFailure, tmp_path: Path
 ) -> None:
     old = Server(default=HANG, name="old")
     new = Server(name="new")
     other = Server(name="other")
-    agent_elsewhere = ScriptedDiscoveryAgent()
+    other_agent = ScriptedDiscoveryAgent()
 
     async def test() -> None:
         async with (
-            started(new, other, agent_elsewhere),
+            running_peers(new, other, other_agent),
             node_environment(
                 tmp_path, old, start=False, sockets=limit, membership_mode="pushed", tier=1
             ) as environment,
         ):
-            agent_elsewhere.endpoints = [other.entry()]
+            other_agent.endpoints = [other.entry()]
             fail_agent(environment.agent, failure)
             program = await Program.start(environment, descriptors=limit)
             assert await status_of(environment.address, READY_CHECK) in (200, 500)
             idle = IdleClients(environment.address)
             await idle.connect(limit + 100)
-            await until_ready(environment.address)  # by its cached endpoints
+            await until_ready(environment.address)  # uses the endpoints of the configuration file
             pending = await send_pending_requests(environment.address)
-            await until(lambda: len({seen.request_id for seen in old.received}) == PENDING_REQUESTS)
+            await until(lambda: len({seen.request_id for seen in old.received}) == PENDING_REQUEST_COUNT)
             await idle.connect(limit + 100)
             assert await status_of(environment.address, READY_CHECK) == 200
 
@@ -159,14 +160,12 @@
             assert await status_of(environment.address, request("fresh")) == 200
             assert "fresh" in [seen.request_id for seen in new.received]
 
-            # A new configuration is a file to open: there is a descriptor left for it.
+            # Opening the new configuration file needs a free descriptor.
             await idle.connect(limit + 100)
-            environment.path.write_text(
-                json.dumps(environment.config | {"discovery": agent_elsewhere.address})
-            )
+            environment.path.write_text(json.dumps(environment.config | {"discovery": other_agent.address}))
             program.process.send_signal(signal.SIGHUP)
             async with asyncio.timeout(MAX_RELOAD_LATENCY_S):
-                await until(lambda: agent_elsewhere.watches() >= 1)
+                await until(lambda: other_agent.watches() >= 1)
             assert await status_of(environment.address, request("moved")) == 200
             assert [seen.request_id for seen in other.received] == ["moved"]
 
--- a/tests/test_event_counts.py
+++ b/tests/test_event_counts.py
@@ -1,4 +1,4 @@
-"""Counts of what happened and why, as they stand in the log."""
+"""Event counters and the log line that reports them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from workspond.observability.counters import CountedEvent, EventCounters
 
 
-def test_a_line_tells_what_is_new_since_the_last() -> None:
+def test_a_summary_contains_only_the_counts_since_the_previous_one() -> None:
     counters = EventCounters()
     assert counters.summary() == ""
     counters.increment(CountedEvent.ATTEMPT_ENDED, "SUCCESS")
@@ -22,7 +22,7 @@
     assert counters.summary() == "attempt_ended[SUCCESS]=1" and counters.summary() == ""
 
 
-def test_a_node_that_ends_tells_what_it_did(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_node_logs_its_counts_when_it_stops(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
 
     async def test() -> None:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Shortages while clients connect or a file is to be opened: the node waits until they are over."""
+"""Shortages of descriptors and failures of `accept`: the node recovers once they are over."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from workspond.node import Node
 
 SHORTAGE_S = 0.5
-USUAL_LIMIT = 1024  # descriptors
+USUAL_DESCRIPTOR_LIMIT = 1024
 
 
 def open_descriptors(pid: int) -> set[int]:
@@ -43,7 +43,10 @@
 
 
 def lowest_free_descriptor(pid: int) -> int:
-    """With this as its limit a process has none free, and can open again what it closes."""
+    """Return the lowest descriptor number that a process does not use.
+
+    With this number as its limit, the process has no free descriptor, but can reuse one that it closes.
+    """
     used = open_descriptors(pid)
     return next(number for number in range(len(used) + 1) if number not in used)
 
@@ -55,23 +58,23 @@
 
 @contextlib.contextmanager
 def no_free_descriptor(pid: int) -> Iterator[None]:
-    """A process that can open nothing more."""
+    """Leave a process no free descriptor."""
     limit_descriptors(pid, lowest_free_descriptor(pid))
     try:
         yield
     finally:
-        limit_descriptors(pid, USUAL_LIMIT)
+        limit_descriptors(pid, USUAL_DESCRIPTOR_LIMIT)
 
 
 async def start_program(environment: NodeEnvironment, descriptors: int | None = None) -> Program:
-    """Start the program, and wait until it has an endpoint list."""
+    """Start the program and wait until it has received an endpoint list."""
     program = await Program.start(environment, descriptors=descriptors)
     await until(lambda: environment.agent.watches() > 0)
     return program
 
 
-def test_callers_that_connect_while_no_descriptor_is_free_are_served_afterwards(tmp_path: Path) -> None:
-    """They must not be reset, as the event loop's own way to accept would do."""
+def test_clients_that_connect_while_no_descriptor_is_free_are_served_afterwards(tmp_path: Path) -> None:
+    """Their connections must not be reset, as they would be by the event loop's own server."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
@@ -94,22 +97,22 @@
 
 
 class FailingSocket:
-    """A listening socket whose next calls of `accept` fail with these errors."""
+    """A listening socket whose next calls of `accept` fail with the given errors."""
 
-    def __init__(self, real: socket.socket, *errors: int) -> None:
-        self._real = real
+    def __init__(self, real_socket: socket.socket, *errors: int) -> None:
+        self._real_socket = real_socket
         self.errors = list(errors)
 
     def accept(self) -> tuple[socket.socket, object]:
         if self.errors:
             raise OSError(self.errors.pop(0), "forced")
-        return self._real.accept()
+        return self._real_socket.accept()
 
     def __getattr__(self, name: str) -> object:
-        return getattr(self._real, name)
+        return getattr(self._real_socket, name)
 
 
-ERRORS = (
+ACCEPT_ERRNOS = (
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
@@ -123,8 +126,8 @@
 )
 
 
-@pytest.mark.parametrize("error", ERRORS, ids=[errno.errorcode[number] for number in ERRORS])
-def test_a_failure_to_accept_keeps_nobody_from_being_served(error: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize("error", ACCEPT_ERRNOS, ids=[errno.errorcode[number] for number in ACCEPT_ERRNOS])
+def test_a_failure_to_accept_does_not_keep_clients_from_being_served(error: int, tmp_path: Path) -> None:
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
             listener = (await ready_node(environment)).frontend._listener
@@ -138,26 +141,26 @@
     run(test())
 
 
-def test_a_new_configuration_is_taken_once_its_file_can_be_opened(tmp_path: Path) -> None:
-    """A file that can't be opened for want of descriptors must be read later: the old address is stale."""
+def test_a_new_configuration_is_applied_once_its_file_can_be_opened(tmp_path: Path) -> None:
+    """If no descriptor is free, the file must be read later, as the old discovery address may be stale."""
 
     async def test() -> None:
-        moved = ScriptedDiscoveryAgent()
-        await moved.start()
+        new_agent = ScriptedDiscoveryAgent()
+        await new_agent.start()
         async with node_environment(tmp_path, Server(), start=False) as environment:
             program = await start_program(environment)
-            environment.path.write_text(json.dumps(environment.config | {"discovery": moved.address}))
+            environment.path.write_text(json.dumps(environment.config | {"discovery": new_agent.address}))
             with no_free_descriptor(program.process.pid):
                 program.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(SHORTAGE_S)
-            await until(lambda: bool(moved.received))
-        await moved.stop()
+            await until(lambda: bool(new_agent.received))
+        await new_agent.stop()
 
     run(test())
 
 
-def test_a_system_limit_below_the_configured_one_holds(tmp_path: Path) -> None:
-    """The lower of the two counts: else the table of descriptors becomes full."""
+def test_a_system_descriptor_limit_below_the_configured_one_is_respected(tmp_path: Path) -> None:
+    """The lower of the two limits applies; otherwise the process runs out of descriptors."""
     limit = 128
 
     async def test() -> None:
@@ -172,26 +175,26 @@
     run(test())
 
 
-@pytest.mark.parametrize(("error", "tries"), [(errno.EMFILE, 4), (errno.EADDRINUSE, 1)])
-def test_a_shortage_at_the_start_is_waited_out_and_an_address_in_use_is_not(
-    error: int, tries: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("error", "attempts"), [(errno.EMFILE, 4), (errno.EADDRINUSE, 1)])
+def test_listening_at_the_start_is_retried_after_a_shortage_but_not_for_an_address_in_use(
+    error: int, attempts: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A node that restarts while descriptors run short must not end with status 2."""
+    """A node that restarts while descriptors run short must not exit with status 2."""
     monkeypatch.setattr("workspond.__main__.LISTEN_RETRY_INTERVAL_S", 0.01)
     calls = []
 
-    def fail_three_times(real: Callable[..., Listener], *args: Any) -> Listener:
+    def fail_three_times(make_listener: Callable[..., Listener], *args: Any) -> Listener:
         calls.append(args)
         if len(calls) <= 3:
             raise OSError(error, "forced")
-        return real(*args)
+        return make_listener(*args)
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
             environment.node = Node(read_config(str(environment.path)), asyncio.get_running_loop())
             failing = functools.partial(fail_three_times, Listener)
             monkeypatch.setattr("workspond.downstream.frontend.Listener", failing)
-            if tries > 1:
+            if attempts > 1:
                 environment.address = await listen(environment.node, ("127.0.0.1", 0))
                 environment.node.start()
                 await ready_node(environment)
@@ -199,6 +202,6 @@
             else:
                 with pytest.raises(OSError, match="forced"):
                     await listen(environment.node, ("127.0.0.1", 0))
-            assert len(calls) == tries
+            assert len(calls) == attempts
 
     run(test())
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log: whatever becomes of it, the node goes on."""
+"""Log output: the node works although standard error is full, closed or not read."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def pipe() -> Iterator[tuple[int, int]]:
-    """The reading end and the writing end of a pipe."""
+    """Provide the reading end and the writing end of a pipe."""
     reader, writer = os.pipe()
     yield reader, writer
     os.close(reader)
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def full_pipe(pipe: tuple[int, int]) -> tuple[int, int]:
-    """Both ends of a pipe that nobody reads and that has no space for another byte."""
+    """Provide both ends of a pipe that is full and not read."""
     fill_pipe(pipe[1])
     return pipe
 
@@ -53,15 +53,18 @@
 
 
 async def start_with(environment: NodeEnvironment, stderr: int | None, closed: tuple[int, ...] = ()) -> None:
-    """Start the program with standard error or with descriptors closed; wait until it watches discovery."""
+    """Start the program with the given standard error, or with some descriptors closed.
+
+    Returns once the program watches the discovery agent.
+    """
     listen = f"127.0.0.1:{free_port()}"
     environment.path.write_text(environment.path.read_text().replace("127.0.0.1:0", listen))
     host, _, port = listen.rpartition(":")
-    closing = " ".join(f"{descriptor}>&-" for descriptor in closed)
+    redirections = " ".join(f"{descriptor}>&-" for descriptor in closed)
     process = await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
-        f"exec {sys.executable} -m workspond {closing}",
+        f"exec {sys.executable} -m workspond {redirections}",
         cwd=ROOT,
         stderr=stderr,
         env=os.environ | {"NODE_CONFIG": str(environment.path)},
@@ -71,8 +74,8 @@
     await until(lambda: environment.agent.watches() > 0)
 
 
-def test_a_node_whose_log_is_not_read_serves(full_pipe: tuple[int, int], tmp_path: Path) -> None:
-    """The node blocked in its first line, and was never ready."""
+def test_a_node_whose_log_pipe_is_full_serves(full_pipe: tuple[int, int], tmp_path: Path) -> None:
+    """Guards against blocking in the first log line, which keeps the node from becoming ready."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
@@ -82,10 +85,10 @@
     run(test())
 
 
-def test_a_log_that_stops_being_read_under_way_holds_nothing_up(
+def test_a_log_pipe_that_fills_up_later_drops_and_counts_lines_but_delays_no_request(
     pipe: tuple[int, int], tmp_path: Path
 ) -> None:
-    """Nor does it when it is read again: the dropped lines are counted."""
+    """Once the pipe is read again, the number of dropped lines is logged."""
 
     async def test() -> None:
         reader, writer = pipe
@@ -120,7 +123,7 @@
 
 
 def full_socket() -> int:
-    """One end of a pair of sockets whose other end nobody reads."""
+    """Return one end of a socket pair whose buffer is full, as the other end is not read."""
     writer, reader = socket.socketpair()
     writer.setblocking(False)
     with contextlib.suppress(BlockingIOError):
@@ -131,10 +134,10 @@
     return writer.detach()
 
 
-@pytest.mark.parametrize("make", [closed_pipe, full_device, full_socket])
-def test_a_node_that_cannot_write_its_log_serves(make: Callable[[], int], tmp_path: Path) -> None:
+@pytest.mark.parametrize("open_stderr", [closed_pipe, full_device, full_socket])
+def test_a_node_that_cannot_write_its_log_serves(open_stderr: Callable[[], int], tmp_path: Path) -> None:
     async def test() -> None:
-        stderr = make()
+        stderr = open_stderr()
         async with node_environment(tmp_path, Server(), start=False) as environment:
             await start_with(environment, stderr)
             assert (await environment.send_request("a")).status == 200
@@ -144,17 +147,17 @@
 
 
 @pytest.mark.parametrize("closed", [(2,), (0, 1, 2)], ids=str)
-def test_a_node_started_without_a_log_writes_into_none_of_its_sockets(
+def test_a_node_started_with_closed_standard_descriptors_does_not_log_into_its_sockets(
     closed: tuple[int, ...], tmp_path: Path
 ) -> None:
-    """The first socket would get the descriptor's number, and the log's lines."""
+    """Otherwise the first socket would get the number of standard error, and log lines written to it."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(default=RESET), start=False) as environment:
             await start_with(environment, None, closed)
-            caller = await environment.client()
+            client = await environment.client()
             for n in range(3):
-                assert (await caller.send_request(f"{n}", "pay")).status == 502
+                assert (await client.send_request(f"{n}", "pay")).status == 502
             [process] = environment.processes
             targets = [os.readlink(f"/proc/{process.pid}/fd/{number}") for number in closed]
             assert targets == ["/dev/null"] * len(closed)
@@ -162,7 +165,7 @@
     run(test())
 
 
-def test_a_bad_configuration_ends_a_node_whose_log_is_not_read(
+def test_a_missing_configuration_exits_with_status_2_although_the_log_pipe_is_full(
     full_pipe: tuple[int, int], tmp_path: Path
 ) -> None:
     async def test() -> None:
@@ -179,7 +182,7 @@
     run(test())
 
 
-def test_a_record_that_cannot_be_formatted_is_told_as_it_is(pipe: tuple[int, int]) -> None:
+def test_a_record_that_cannot_be_formatted_is_logged_without_its_arguments(pipe: tuple[int, int]) -> None:
     reader, writer = pipe
     handler = LineHandler(LineWriter(writer))
     handler.emit(logging.LogRecord("x", logging.INFO, "", 0, "%d of them", ("none",), None))
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests sent ahead on a connection: whatever has been read gets its own response, in order."""
+"""Pipelined requests: each gets its own response, in the order of the requests."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from tests.client_helpers import open_connection_count, open_request_count, running_node
 from tests.peers import Server, node_environment, render_response, request, run, until
 
-PIPELINED = 20  # more requests than the node queues
+PIPELINED_COUNT = 20  # more requests than the node queues
 
 
-def requests(count: int) -> bytes:
-    """So many requests, for one write."""
+def pipelined_requests(count: int) -> bytes:
+    """Render a number of requests for a single write."""
     return b"".join(request(f"{number}") for number in range(count))
 
 
-def test_a_flood_of_requests_in_one_write_is_answered_one_by_one(tmp_path: Path) -> None:
-    """A full queue must not end the connection with an error in place of the responses."""
+def test_requests_over_the_queue_limit_in_one_write_are_answered_in_order(tmp_path: Path) -> None:
+    """A full queue must not make the node close the connection with an error."""
 
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
-            client.write(requests(PIPELINED))
-            assert [(await client.read()).status for _ in range(PIPELINED)] == [200] * PIPELINED
+            client.write(pipelined_requests(PIPELINED_COUNT))
+            assert [(await client.read()).status for _ in range(PIPELINED_COUNT)] == [200] * PIPELINED_COUNT
             assert (await client.send_request("after")).status == 200
             assert [seen.request_id for seen in server.received] == [
-                *(f"{n}" for n in range(PIPELINED)),
+                *(f"{n}" for n in range(PIPELINED_COUNT)),
                 "after",
             ]
 
@@ -40,20 +40,20 @@
 FIRST_REQUEST = request("first")
 INCOMPLETE_REQUEST = request("second", "pay", body=b"whole")[:-2]
 INVALID_TAILS = {
-    "noise": b"noise\r\n\r\n",
-    "no class": request("second", "nonsense"),
-    "half a request": INCOMPLETE_REQUEST,
+    "malformed HTTP": b"noise\r\n\r\n",
+    "unknown class": request("second", "nonsense"),
+    "incomplete request": INCOMPLETE_REQUEST,
 }
 
 
 @pytest.mark.parametrize("tail", INVALID_TAILS.values(), ids=INVALID_TAILS.keys())
 @pytest.mark.parametrize("hangs", [True, False], ids=["server hangs", "server answers"])
-def test_a_request_has_its_own_answer_before_the_error_for_what_came_behind_it(
+def test_a_request_before_an_invalid_one_is_answered_before_the_error(
     tail: bytes, hangs: bool, tmp_path: Path
 ) -> None:
-    """The error must not replace the response: else the client can't tell what has become of its request.
+    """The error must not replace the response, or the client could not tell the result of its first request.
 
-    What is invalid is answered within 3 s, though the request before it has 20 s.
+    The error must be sent within 3 s, although the first request has a budget of 20 s.
     """
 
     async def test() -> None:
@@ -61,7 +61,7 @@
         server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
-            began_s = time.monotonic()
+            started_at_s = time.monotonic()
             client.write(FIRST_REQUEST)
             await until(lambda: len(server.received) == 1)
             client.write(tail)
@@ -74,14 +74,14 @@
             assert error.status == (408 if tail == INCOMPLETE_REQUEST else 400)
             assert error.headers["connection"] == "close"
             assert await client.closed()
-            assert time.monotonic() - began_s < 3.0
+            assert time.monotonic() - started_at_s < 3.0
             assert open_request_count(running_node(environment)) == 0
             server.may_respond.set()
 
     run(test())
 
 
-def test_all_that_was_read_before_an_error_is_served(tmp_path: Path) -> None:
+def test_all_requests_before_malformed_data_are_served_and_none_after_it(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
@@ -94,34 +94,34 @@
     run(test())
 
 
-def test_an_id_that_is_open_ends_only_the_request_that_names_it_again(tmp_path: Path) -> None:
-    """The connection must stay open: what was read behind that request is owed its responses."""
+def test_a_request_id_already_in_use_is_rejected_and_the_next_request_is_served(tmp_path: Path) -> None:
+    """The connection must stay open for the responses to the requests that follow the rejected one."""
 
     async def test() -> None:
         server = Server()
         server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
-            owner = await environment.client()
-            other = await environment.client()
-            owner.write(request("a"))
+            first = await environment.client()
+            second = await environment.client()
+            first.write(request("a"))
             await until(lambda: len(server.received) == 1)
-            other.write(request("a") + request("b"))
-            assert (await other.read()).status == 400
+            second.write(request("a") + request("b"))
+            assert (await second.read()).status == 400
             server.may_respond.set()
-            assert (await other.read()).status == (await owner.read()).status == 200
+            assert (await second.read()).status == (await first.read()).status == 200
 
     run(test())
 
 
-def test_a_caller_that_leaves_with_much_unread_is_noticed(tmp_path: Path) -> None:
-    """A connection with a full queue is not read from, nor is its end: the next attempt polls the socket."""
+def test_a_client_that_disconnects_while_the_queue_is_full_is_noticed(tmp_path: Path) -> None:
+    """Reading is paused while the queue is full, so the EOF is only found by polling before an attempt."""
 
     async def test() -> None:
         server = Server()
         server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
-            client.write(requests(10 * PIPELINED))
+            client.write(pipelined_requests(10 * PIPELINED_COUNT))
             await until(lambda: len(server.received) == 1)
             client.writer.close()
             await asyncio.sleep(0.1)
@@ -133,8 +133,8 @@
     run(test())
 
 
-def test_what_came_before_a_close_that_the_caller_asked_for_can_be_read(tmp_path: Path) -> None:
-    """Closed over unread data behind that request, the connection would be reset, and the responses lost."""
+def test_responses_before_a_requested_close_can_be_read_despite_trailing_data(tmp_path: Path) -> None:
+    """Closing the socket with unread data would reset the connection and lose the responses."""
 
     async def test() -> None:
         async with node_environment(
@@ -147,14 +147,14 @@
     run(test())
 
 
-def test_a_node_that_ends_serves_all_that_was_sent_ahead(tmp_path: Path) -> None:
+def test_pipelined_requests_are_all_answered_when_the_node_drains(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
             client = await environment.client()
-            client.write(requests(PIPELINED))
+            client.write(pipelined_requests(PIPELINED_COUNT))
             await until(lambda: len(server.received) >= 1)
             await running_node(environment).frontend.drain()
-            assert [(await client.read()).status for _ in range(PIPELINED)] == [200] * PIPELINED
+            assert [(await client.read()).status for _ in range(PIPELINED_COUNT)] == [200] * PIPELINED_COUNT
 
     run(test())
--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -1,4 +1,4 @@
-"""The log lines of requests that end badly."""
+"""The log lines that trace failed requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 MAX_LINES = 2
 
 
-def test_a_request_that_ends_badly_is_told_in_the_log_with_its_attempts(
+def test_a_failed_request_is_logged_with_its_attempts(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO, "workspond")
@@ -31,20 +31,20 @@
     assert " outcome=ERROR " in line and line.count(";") == 0
 
 
-class UnfilledBucket(TokenBucket):
-    """A bucket that gets no new tokens, however slow the machine is."""
+class UnrefilledBucket(TokenBucket):
+    """A token bucket that is never refilled, however slow the machine is."""
 
     def refill(self, per_ms: float, most: float, now: float) -> float:
         return self.tokens
 
 
-def test_the_log_of_bad_ends_is_bounded(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_the_number_of_logged_failures_is_limited(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "workspond")
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(default=render_response(500))) as environment:
             assert environment.node is not None
-            environment.node._requests._tracer._rate_limit = UnfilledBucket(tokens=MAX_LINES, now_ms=0.0)
+            environment.node._requests._tracer._rate_limit = UnrefilledBucket(tokens=MAX_LINES, now_ms=0.0)
             for n in range(MAX_LINES + 3):
                 await environment.send_request(f"{n}", "pay")
 
--- a/tests/test_response_parser.py
+++ b/tests/test_response_parser.py
@@ -1,4 +1,4 @@
-"""The response parser by itself, with the rules for servers and with those for the discovery agent."""
+"""The response parser, with rules such as those for servers (strict) and for the agent (lenient)."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
     ignores_trailing_data=True,
 )
 LENIENT = ResponseRules(max_message_bytes=300)
-BOTH = pytest.mark.parametrize("rules", [STRICT, LENIENT], ids=["strict", "lenient"])
+STRICT_AND_LENIENT = pytest.mark.parametrize("rules", [STRICT, LENIENT], ids=["strict", "lenient"])
 HEAD = b"HTTP/1.1 200 OK\r\n"
 INTERIM = b"HTTP/1.1 103 Early\r\nX-Mark: early\r\nContent-Type: text/plain\r\n\r\n"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-TWO_CODINGS = CHUNKED.replace(b"Transfer-Encoding: chunked\r\n", b"Transfer-Encoding: chunked\r\n" * 2)
+REPEATED_TRANSFER_ENCODING = CHUNKED.replace(
+    b"Transfer-Encoding: chunked\r\n", b"Transfer-Encoding: chunked\r\n" * 2
+)
 
 
-def sized(body: bytes, headers: bytes = b"", status: int = 200) -> bytes:
+def response_with_length(body: bytes, headers: bytes = b"", status: int = 200) -> bytes:
     return b"HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s" % (status, headers, len(body), body)
 
 
-def fed(rules: ResponseRules, *parts: bytes) -> tuple[ResponseParser, ParseState]:
-    """A parser that was fed these parts, and the state after the last."""
+def feed_parts(rules: ResponseRules, *parts: bytes) -> tuple[ResponseParser, ParseState]:
+    """Feed parts to a new parser; return it with the state after the last part."""
     parser = ResponseParser(rules)
     state = ParseState.INCOMPLETE
     for part in parts:
@@ -38,85 +40,88 @@
     return parser, state
 
 
-def one_by_one(data: bytes) -> list[bytes]:
+def single_bytes(data: bytes) -> list[bytes]:
     return [data[index : index + 1] for index in range(len(data))]
 
 
-@BOTH
+@STRICT_AND_LENIENT
 @pytest.mark.parametrize(
     ("data", "status", "body"),
     [
-        (sized(b"abcde"), 200, b"abcde"),
-        (sized(b""), 200, b""),
-        (sized(b"no", status=503), 503, b"no"),
+        (response_with_length(b"abcde"), 200, b"abcde"),
+        (response_with_length(b""), 200, b""),
+        (response_with_length(b"no", status=503), 503, b"no"),
         (CHUNKED, 200, b"abcde"),
         (b"HTTP/1.1 204 None\r\n\r\n", 204, b""),
-        (INTERIM + sized(b"abcde"), 200, b"abcde"),
+        (INTERIM + response_with_length(b"abcde"), 200, b"abcde"),
         (INTERIM + INTERIM + CHUNKED, 200, b"abcde"),
         (b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKED, 200, b"abcde"),
     ],
     ids=[
-        "length",
-        "empty",
-        "an error",
-        "chunks",
+        "content length",
+        "empty body",
+        "error status",
+        "chunked",
         "no body",
-        "after one interim",
-        "after two interim",
-        "after continue",
+        "after one interim response",
+        "after two interim responses",
+        "after 100 Continue",
     ],
 )
-def test_a_response_is_read_at_once_and_byte_by_byte(
+def test_a_response_is_parsed_from_one_read_and_byte_by_byte(
     rules: ResponseRules, data: bytes, status: int, body: bytes
 ) -> None:
-    for parts in ([data], one_by_one(data)):
-        parser, state = fed(rules, *parts)
+    for parts in ([data], single_bytes(data)):
+        parser, state = feed_parts(rules, *parts)
         assert state is ParseState.COMPLETE
         response = parser.response()
         assert (response.status, response.body) == (status, body)
         assert parser.can_keep_alive
 
 
-@BOTH
-def test_a_connection_that_is_to_close_is_not_kept(rules: ResponseRules) -> None:
-    for data in (sized(b"a", b"Connection: close\r\n"), sized(b"a").replace(b"1.1", b"1.0")):
-        parser, state = fed(rules, data)
+@STRICT_AND_LENIENT
+def test_connection_close_and_http_1_0_prevent_reuse_of_the_connection(rules: ResponseRules) -> None:
+    for data in (
+        response_with_length(b"a", b"Connection: close\r\n"),
+        response_with_length(b"a").replace(b"1.1", b"1.0"),
+    ):
+        parser, state = feed_parts(rules, data)
         assert state is ParseState.COMPLETE and not parser.can_keep_alive
 
 
-def test_only_the_headers_asked_for_are_kept_and_of_two_the_last() -> None:
-    data = sized(b"a", b"X-Mark: one\r\nX-Other: 1\r\nx-mArK: two\r\n")
-    assert fed(STRICT, data)[0].response().headers == {b"x-mark": b"two"}
-    assert fed(LENIENT, data)[0].response().headers == {}
+def test_only_the_requested_headers_are_kept_with_the_last_value_of_a_repeated_one() -> None:
+    data = response_with_length(b"a", b"X-Mark: one\r\nX-Other: 1\r\nx-mArK: two\r\n")
+    assert feed_parts(STRICT, data)[0].response().headers == {b"x-mark": b"two"}
+    assert feed_parts(LENIENT, data)[0].response().headers == {}
 
 
-def test_headers_of_interim_responses_are_forgotten_and_trailers_count() -> None:
-    assert fed(STRICT, INTERIM + sized(b"a"))[0].response().headers == {}
+def test_headers_of_interim_responses_are_discarded_and_trailers_kept() -> None:
+    assert feed_parts(STRICT, INTERIM + response_with_length(b"a"))[0].response().headers == {}
     trailer = CHUNKED[:-2] + b"X-Mark: late\r\n\r\n"
-    assert fed(STRICT, INTERIM + trailer)[0].response().headers == {b"x-mark": b"late"}
+    assert feed_parts(STRICT, INTERIM + trailer)[0].response().headers == {b"x-mark": b"late"}
 
 
-@BOTH
-def test_a_response_with_no_length_ends_with_its_connection(rules: ResponseRules) -> None:
+@STRICT_AND_LENIENT
+def test_a_response_without_a_length_is_complete_when_the_connection_closes(rules: ResponseRules) -> None:
     for body in (b"", b"abcde"):
-        parser, state = fed(rules, HEAD + b"\r\n" + body)
+        parser, state = feed_parts(rules, HEAD + b"\r\n" + body)
         assert state is ParseState.INCOMPLETE
         assert parser.feed_eof()
         assert parser.response().body == body
         assert not parser.can_keep_alive
-        assert not parser.feed_eof()  # it was complete already
+        assert not parser.feed_eof()  # the response was complete already
 
 
-@BOTH
-def test_a_length_of_an_interim_response_is_not_that_of_the_final_one(rules: ResponseRules) -> None:
+@STRICT_AND_LENIENT
+def test_the_length_of_an_interim_response_does_not_apply_to_the_final_one(rules: ResponseRules) -> None:
     interim = INTERIM.replace(b"X-Mark: early", b"Content-Length: 0")
-    parser, state = fed(rules, interim + HEAD + b"\r\nabcde")
+    parser, state = feed_parts(rules, interim + HEAD + b"\r\nabcde")
     assert state is ParseState.INCOMPLETE
     assert parser.feed_eof()
     assert parser.response().body == b"abcde"
 
 
-@BOTH
+@STRICT_AND_LENIENT
 @pytest.mark.parametrize(
     "data",
     [
@@ -126,15 +131,17 @@
         HEAD + b"Content-Length: 3\r\n\r\nab",
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
     ],
-    ids=["nothing", "half a head", "an interim response", "half a body", "no last chunk"],
+    ids=["no data", "incomplete head", "interim response", "incomplete body", "no last chunk"],
 )
-def test_the_end_of_the_connection_completes_nothing_else(rules: ResponseRules, data: bytes) -> None:
-    parser, state = fed(rules, data)
+def test_a_close_does_not_complete_a_response_that_is_not_delimited_by_it(
+    rules: ResponseRules, data: bytes
+) -> None:
+    parser, state = feed_parts(rules, data)
     assert state is ParseState.INCOMPLETE
     assert not parser.feed_eof()
 
 
-@BOTH
+@STRICT_AND_LENIENT
 @pytest.mark.parametrize(
     "data",
     [
@@ -144,110 +151,114 @@
         b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
     ],
-    ids=["noise", "a negative length", "two lengths", "an upgrade", "a bad chunk"],
+    ids=["no HTTP", "negative length", "two lengths", "upgrade", "bad chunk size"],
 )
-def test_what_is_no_response_is_malformed(rules: ResponseRules, data: bytes) -> None:
-    assert fed(rules, data)[1] is ParseState.MALFORMED
+def test_an_invalid_response_is_malformed(rules: ResponseRules, data: bytes) -> None:
+    assert feed_parts(rules, data)[1] is ParseState.MALFORMED
 
 
-def test_two_framing_headers_are_malformed_unless_the_rules_allow_them() -> None:
-    assert fed(STRICT, TWO_CODINGS)[1] is ParseState.MALFORMED
-    parser, state = fed(replace(STRICT, allows_repeated_framing=True), TWO_CODINGS)
+def test_repeated_transfer_encoding_is_malformed_unless_the_rules_allow_it() -> None:
+    assert feed_parts(STRICT, REPEATED_TRANSFER_ENCODING)[1] is ParseState.MALFORMED
+    parser, state = feed_parts(replace(STRICT, allows_repeated_framing=True), REPEATED_TRANSFER_ENCODING)
     assert state is ParseState.COMPLETE and parser.response().body == b"abcde"
 
 
-@BOTH
-def test_a_length_beside_a_coding_is_always_malformed(rules: ResponseRules) -> None:
-    length, coding = b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n"
-    for headers in (length + coding, coding + length):
-        assert fed(rules, CHUNKED.replace(coding, headers))[1] is ParseState.MALFORMED
+@STRICT_AND_LENIENT
+def test_a_length_together_with_a_transfer_encoding_is_always_malformed(rules: ResponseRules) -> None:
+    length, encoding = b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n"
+    for headers in (length + encoding, encoding + length):
+        assert feed_parts(rules, CHUNKED.replace(encoding, headers))[1] is ParseState.MALFORMED
 
 
-def test_a_head_over_its_limit_is_too_large_and_interim_responses_count_in_it() -> None:
-    assert fed(STRICT, HEAD + b"X-Pad: " + b"x" * 200)[1] is ParseState.TOO_LARGE
-    assert fed(STRICT, *[INTERIM] * 4)[1] is ParseState.TOO_LARGE
-    assert fed(STRICT, *[INTERIM] * 3)[1] is ParseState.INCOMPLETE
-    assert fed(replace(STRICT, max_head_bytes=math.inf), *[INTERIM] * 9)[1] is ParseState.INCOMPLETE
+def test_a_head_over_its_limit_is_too_large_with_interim_responses_counted() -> None:
+    assert feed_parts(STRICT, HEAD + b"X-Pad: " + b"x" * 200)[1] is ParseState.TOO_LARGE
+    assert feed_parts(STRICT, *[INTERIM] * 4)[1] is ParseState.TOO_LARGE
+    assert feed_parts(STRICT, *[INTERIM] * 3)[1] is ParseState.INCOMPLETE
+    assert feed_parts(replace(STRICT, max_head_bytes=math.inf), *[INTERIM] * 9)[1] is ParseState.INCOMPLETE
 
 
-def test_a_head_over_its_limit_counts_if_it_comes_in_one_read_with_its_end() -> None:
-    """The limit bounds what is waited for: what is complete has been read already."""
+def test_a_head_over_its_limit_is_accepted_if_one_read_contains_its_end() -> None:
+    """The limit applies only to an incomplete head, as a complete one has been read already."""
     padded = b"X-Pad: " + b"x" * 200 + b"\r\n"
-    assert fed(STRICT, sized(b"abc", padded))[1] is ParseState.COMPLETE
-    assert fed(STRICT, HEAD + padded + b"Content-Length: 3\r\n\r\n")[1] is ParseState.INCOMPLETE
+    assert feed_parts(STRICT, response_with_length(b"abc", padded))[1] is ParseState.COMPLETE
+    assert feed_parts(STRICT, HEAD + padded + b"Content-Length: 3\r\n\r\n")[1] is ParseState.INCOMPLETE
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        sized(b"x" * 11),
+        response_with_length(b"x" * 11),
         HEAD + b"Content-Length: 3000000000\r\n\r\n",
         HEAD + b"\r\n" + b"x" * 11,
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n5\r\nghijk\r\n0\r\n\r\n",
     ],
-    ids=["announced and sent", "announced", "with no length", "in chunks"],
+    ids=["announced and sent", "announced", "without a length", "chunked"],
 )
 def test_a_body_over_its_limit_is_too_large(data: bytes) -> None:
-    assert fed(STRICT, data)[1] is ParseState.TOO_LARGE
-    assert fed(replace(STRICT, max_body_bytes=math.inf), data)[1] is not ParseState.TOO_LARGE
+    assert feed_parts(STRICT, data)[1] is ParseState.TOO_LARGE
+    assert feed_parts(replace(STRICT, max_body_bytes=math.inf), data)[1] is not ParseState.TOO_LARGE
 
 
-def test_a_body_of_just_its_limit_is_read() -> None:
-    parser, state = fed(STRICT, sized(b"x" * 10))
+def test_a_body_of_exactly_its_limit_is_complete() -> None:
+    parser, state = feed_parts(STRICT, response_with_length(b"x" * 10))
     assert state is ParseState.COMPLETE and parser.response().body == b"x" * 10
 
 
-def test_a_message_over_its_limit_is_too_large_unless_it_is_complete() -> None:
-    data = sized(b"x" * 400)
-    assert fed(LENIENT, data[:-1])[1] is ParseState.TOO_LARGE
-    assert fed(LENIENT, data[:300])[1] is ParseState.INCOMPLETE
-    assert fed(LENIENT, data)[1] is ParseState.COMPLETE
+def test_a_response_over_the_message_limit_is_too_large_unless_complete() -> None:
+    data = response_with_length(b"x" * 400)
+    assert feed_parts(LENIENT, data[:-1])[1] is ParseState.TOO_LARGE
+    assert feed_parts(LENIENT, data[:300])[1] is ParseState.INCOMPLETE
+    assert feed_parts(LENIENT, data)[1] is ParseState.COMPLETE
 
 
-def test_the_size_of_an_earlier_response_does_not_count() -> None:
+def test_the_size_of_an_earlier_response_does_not_count_toward_the_message_limit() -> None:
     parser = ResponseParser(LENIENT)
     for _ in range(3):
         parser.start()
-        assert parser.feed(sized(b"x" * 400)[:200]) is ParseState.INCOMPLETE
+        assert parser.feed(response_with_length(b"x" * 400)[:200]) is ParseState.INCOMPLETE
 
 
-def test_a_length_that_cannot_be_converted_is_malformed_where_bodies_are_limited() -> None:
-    """Python converts no number of so many digits; where no limit asks for it, the parser reads it."""
-    data = sized(b"abcde").replace(b"Length: 5", b"Length: " + b"0" * 5000 + b"5")
-    assert fed(replace(STRICT, max_head_bytes=math.inf), data)[1] is ParseState.MALFORMED
-    assert fed(replace(LENIENT, max_message_bytes=math.inf), data)[1] is ParseState.COMPLETE
+def test_a_length_of_5001_digits_is_malformed_only_if_bodies_are_limited() -> None:
+    """Python's int() rejects so many digits. Without a limit, only httptools converts the length."""
+    data = response_with_length(b"abcde").replace(b"Length: 5", b"Length: " + b"0" * 5000 + b"5")
+    assert feed_parts(replace(STRICT, max_head_bytes=math.inf), data)[1] is ParseState.MALFORMED
+    assert feed_parts(replace(LENIENT, max_message_bytes=math.inf), data)[1] is ParseState.COMPLETE
 
 
 @pytest.mark.parametrize(
-    "surplus", [sized(b"two", status=500), b"\x00 noise\r\n", HEAD], ids=["response", "noise", "head"]
+    "trailing_data",
+    [response_with_length(b"two", status=500), b"\x00 noise\r\n", HEAD],
+    ids=["response", "no HTTP", "head"],
 )
-def test_surplus_that_is_ignored_leaves_the_response_and_ends_the_connections_use(surplus: bytes) -> None:
-    parser, state = fed(STRICT, sized(b"one") + surplus)
+def test_ignored_trailing_data_only_prevents_reuse_of_the_connection(trailing_data: bytes) -> None:
+    parser, state = feed_parts(STRICT, response_with_length(b"one") + trailing_data)
     assert state is ParseState.COMPLETE
     assert (parser.response().status, parser.response().body) == (200, b"one")
     assert not parser.can_keep_alive
 
 
-def test_surplus_that_is_not_ignored_is_part_of_the_response() -> None:
-    assert fed(LENIENT, sized(b"one") + b"\x00 noise\r\n")[1] is ParseState.MALFORMED
-    parser, state = fed(LENIENT, sized(b"one") + sized(b"two", status=500))
+def test_trailing_data_that_is_not_ignored_is_part_of_the_response() -> None:
+    assert feed_parts(LENIENT, response_with_length(b"one") + b"\x00 noise\r\n")[1] is ParseState.MALFORMED
+    parser, state = feed_parts(
+        LENIENT, response_with_length(b"one") + response_with_length(b"two", status=500)
+    )
     assert state is ParseState.COMPLETE
     assert (parser.response().status, parser.response().body) == (500, b"onetwo")
 
 
-def test_an_upgrade_after_a_complete_response_is_malformed_even_where_surplus_is_ignored() -> None:
+def test_an_upgrade_after_a_complete_response_is_malformed_even_if_trailing_data_is_ignored() -> None:
     upgrade = b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"
-    assert fed(STRICT, sized(b"one") + upgrade)[1] is ParseState.MALFORMED
+    assert feed_parts(STRICT, response_with_length(b"one") + upgrade)[1] is ParseState.MALFORMED
 
 
-@BOTH
-def test_one_parser_reads_the_responses_of_a_connection_one_after_the_other(rules: ResponseRules) -> None:
+@STRICT_AND_LENIENT
+def test_one_parser_parses_successive_responses_of_a_connection(rules: ResponseRules) -> None:
     parser = ResponseParser(rules)
     for body in (b"one", b"", b"three"):
         parser.start()
-        assert parser.feed(sized(body)) is ParseState.COMPLETE
+        assert parser.feed(response_with_length(body)) is ParseState.COMPLETE
         assert parser.response().body == body
     parser.start()
     assert parser.feed(b"\x00") is ParseState.MALFORMED
     parser.start()
-    assert parser.feed(sized(b"last")) is ParseState.COMPLETE
+    assert parser.feed(response_with_length(b"last")) is ParseState.COMPLETE
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The check before an attempt is written: changes block it, and a broken invariant is counted too."""
+"""The send guard: it blocks attempts after changes, and counts and logs broken invariants."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return SendGuard(settings(), {SERVER_ID}, {SERVER_ID: ADDRESS})
 
 
-def pending(history: AttemptHistory, class_name: str = "idempotent") -> PendingSend:
+def pending_send(history: AttemptHistory, class_name: str = "idempotent") -> PendingSend:
     return PendingSend("a", class_name, history, SERVER_ID, ADDRESS, math.inf)
 
 
@@ -36,8 +36,8 @@
     return history
 
 
-def test_what_has_changed_since_a_decision_is_held_back_and_breaks_nothing(guard: SendGuard) -> None:
-    send = pending(AttemptHistory())
+def test_a_change_since_the_decision_blocks_the_attempt_and_is_no_broken_invariant(guard: SendGuard) -> None:
+    send = pending_send(AttemptHistory())
     assert guard.check(send) is None
     assert guard.check(replace(send, server_id=8)) is SendRefusal.NOT_IN_SERVICE
     assert guard.check(replace(send, send_until_ms=now_ms() - 1.0)) is SendRefusal.RETRY_WINDOW_OVER
@@ -46,40 +46,42 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.SUCCESS])
-def test_an_unsafe_request_that_may_have_run_is_not_written_again(guard: SendGuard, outcome: Outcome) -> None:
+def test_a_non_idempotent_request_that_may_have_run_is_not_written_again(
+    guard: SendGuard, outcome: Outcome
+) -> None:
     history = history_after(guard, outcome)
-    assert guard.check(pending(history, "non_idempotent")) is SendRefusal.NON_IDEMPOTENT_RETRY
-    assert guard.check(pending(history, "idempotent")) is None
-    assert guard.check(pending(history_after(guard, Outcome.REJECTED), "non_idempotent")) is None
+    assert guard.check(pending_send(history, "non_idempotent")) is SendRefusal.NON_IDEMPOTENT_RETRY
+    assert guard.check(pending_send(history, "idempotent")) is None
+    assert guard.check(pending_send(history_after(guard, Outcome.REJECTED), "non_idempotent")) is None
     assert guard.broken_counts == {SendRefusal.NON_IDEMPOTENT_RETRY: 1}
 
 
-def test_two_attempts_at_once_and_too_many_are_counted(guard: SendGuard) -> None:
+def test_overlapping_attempts_and_too_many_attempts_are_blocked_and_counted(guard: SendGuard) -> None:
     history = AttemptHistory()
     history.record_write()
-    assert guard.check(pending(history)) is SendRefusal.OVERLAPPING_ATTEMPT
+    assert guard.check(pending_send(history)) is SendRefusal.OVERLAPPING_ATTEMPT
     for _ in range(settings().max_attempts):
         history.record_end(may_have_run=True)
         history.record_write()
     history.record_end(may_have_run=True)
-    assert guard.check(pending(history)) is SendRefusal.TOO_MANY_ATTEMPTS
+    assert guard.check(pending_send(history)) is SendRefusal.TOO_MANY_ATTEMPTS
     assert guard.broken_counts.total() == 2
 
 
 def test_a_broken_invariant_is_logged_with_its_fields(
     guard: SendGuard, caplog: pytest.LogCaptureFixture
 ) -> None:
-    guard.check(pending(history_after(guard, Outcome.RESET), "non_idempotent"))
+    guard.check(pending_send(history_after(guard, Outcome.RESET), "non_idempotent"))
     assert caplog.messages == [
         "invariant broken: request=a class=non_idempotent endpoint=127.0.0.1:9000 written=1 "
         'reason="earlier attempt of a non-idempotent request may have run" count=1'
     ]
 
 
-def test_a_decision_that_breaks_a_rule_is_not_carried_out_and_is_told(
+def test_a_policy_that_retries_non_idempotent_requests_is_blocked_and_logged(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A policy that retries non-idempotent requests: the server sees one attempt, and the log says so."""
+    """The server receives a single attempt, and the log reports the broken invariant."""
     caplog.set_level(logging.INFO)
     monkeypatch.setattr(RetryPolicy, "repeat_deadline_at_ms", lambda self, call: math.inf)
 
