--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -77,14 +77,13 @@
         server = Server()
         async with node_environment(tmp_path, server) as environment:
             with await connect(environment) as client:
-                assert (
-                    await environment.send_request("before")
-                ).status == 200  # leaves an idle connection to the server
+                # This request leaves an idle connection to the server.
+                assert (await environment.send_request("before")).status == 200
                 client.sendall(request("abandoned"))
                 disconnect_and_block_the_loop(client, disconnect)
                 assert (await environment.send_request("next")).status == 200
                 await all_requests_finished(environment)
-                assert [seen.request_id for seen in server.received] == ["before", "next"]
+                assert [message.request_id for message in server.received] == ["before", "next"]
 
     run(test())
 
@@ -136,7 +135,7 @@
                 assert (await first.read()).status == 200
                 await all_requests_finished(environment)
                 assert (await first.send_request("next")).status == 200
-                assert [seen.request_id for seen in server.received] == ["first", "next"]
+                assert [message.request_id for message in server.received] == ["first", "next"]
 
     run(test())
 
@@ -157,7 +156,7 @@
                 disconnect_and_block_the_loop(client, disconnect)
                 await all_requests_finished(environment)
                 assert (await environment.send_request("next")).status == 200
-                assert [seen.request_id for seen in server.received] == ["first", "next"]
+                assert [message.request_id for message in server.received] == ["first", "next"]
 
     run(test())
 
--- a/tests/test_close_delimited_responses.py
+++ b/tests/test_close_delimited_responses.py
@@ -32,7 +32,7 @@
         server = Server(b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n\r\n" + CLOSE)
         async with node_environment(tmp_path, server) as environment:
             assert (await environment.send_request("a", "pay")).status == 200
-            assert [seen.request_id for seen in server.received] == ["a", "a"]
+            assert [message.request_id for message in server.received] == ["a", "a"]
 
     run(test())
 
@@ -43,7 +43,7 @@
         async with node_environment(tmp_path, server) as environment:
             assert (await environment.send_request("a", "pay", budget="0.5")).status in (502, 504)
             assert (await environment.send_request("b", "pay")).body == b"done"
-            assert [seen.request_id for seen in server.received] == ["a", "b"]
+            assert [message.request_id for message in server.received] == ["a", "b"]
 
     run(test())
 
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -50,7 +50,7 @@
         self, address: str, *, connect_timeout_ms: float = 5000.0, keepalive_ms: float = 60_000.0
     ) -> None:
         loop = asyncio.get_running_loop()
-        self.pool = ConnectionPool(loop, connect_timeout_ms, keepalive_ms, lambda: 100)
+        self.connection_pool = ConnectionPool(loop, connect_timeout_ms, keepalive_ms, lambda: 100)
         host, port = address.split(":")
         self.address: Address = (host, int(port))
         self.outcomes: list[Outcome] = []
@@ -60,7 +60,7 @@
         self, request_id: str, *, may_send: Callable[[], bool] = lambda: True, timeout_ms: float = 20_000.0
     ) -> Attempt:
         handler = ScriptedHandler(request(request_id), self._record, may_send)
-        return self.pool.send(1, self.address, handler, timeout_ms)
+        return self.connection_pool.send(1, self.address, handler, timeout_ms)
 
     def _record(self, outcome: Outcome, response: ServerResponse | None) -> None:
         self.outcomes.append(outcome)
@@ -73,7 +73,7 @@
 
 
 @asynccontextmanager
-async def running(server: Server) -> AsyncIterator[PoolUnderTest]:
+async def pool_with_server(server: Server) -> AsyncIterator[PoolUnderTest]:
     """Start a server, and provide a pool for it."""
     await server.start()
     try:
@@ -122,12 +122,12 @@
 
     async def test() -> None:
         server = ThreadedServer(reset=reset)
-        client = PoolUnderTest(server.address)
-        client.send("a")
-        assert await client.outcome(1) is Outcome.SUCCESS
+        pool = PoolUnderTest(server.address)
+        pool.send("a")
+        assert await pool.outcome(1) is Outcome.SUCCESS
         server.end_first_connection()
-        client.send("b")
-        assert await client.outcome(2) is Outcome.SUCCESS
+        pool.send("b")
+        assert await pool.outcome(2) is Outcome.SUCCESS
         assert [b"X-Call-Id: b" in message for message in server.requests] == [False, True]
 
     run(test())
@@ -141,9 +141,9 @@
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(WAIT_TIMEOUT_S)
-            client = PoolUnderTest(f"127.0.0.1:{listener.getsockname()[1]}")
+            pool = PoolUnderTest(f"127.0.0.1:{listener.getsockname()[1]}")
             sent_at_s = time.monotonic()
-            client.send("a", timeout_ms=timeout_s * 1000.0)
+            pool.send("a", timeout_ms=timeout_s * 1000.0)
             connection, _ = await asyncio.to_thread(listener.accept)
             connection.settimeout(WAIT_TIMEOUT_S)
             assert await asyncio.to_thread(connection.recv, 65536)
@@ -156,7 +156,7 @@
 
             loop.add_reader(wakeup_reader, answer_and_block_the_loop)
             wakeup_writer.send(b"x")
-            assert await client.outcome(1) is Outcome.SUCCESS
+            assert await pool.outcome(1) is Outcome.SUCCESS
             for each in (connection, wakeup_reader, wakeup_writer):
                 each.close()
 
@@ -169,14 +169,14 @@
 
     async def test() -> None:
         server = ThreadedServer(reset=True)
-        client = PoolUnderTest(server.address)
-        client.send("a")
-        assert await client.outcome(1) is Outcome.SUCCESS
+        pool = PoolUnderTest(server.address)
+        pool.send("a")
+        assert await pool.outcome(1) is Outcome.SUCCESS
         server.end_first_connection()
-        client.send("b")
-        assert await client.outcome(2) is Outcome.CONNECT_FAILED
-        client.send("c")
-        assert await client.outcome(3) is Outcome.SUCCESS
+        pool.send("b")
+        assert await pool.outcome(2) is Outcome.CONNECT_FAILED
+        pool.send("c")
+        assert await pool.outcome(3) is Outcome.SUCCESS
 
     run(test())
 
@@ -186,14 +186,14 @@
 
     async def test() -> None:
         server = Server()
-        async with running(server) as client:
+        async with pool_with_server(server) as pool:
             ended = asyncio.Event()
-            client.send("a", may_send=lambda: not ended.is_set())
+            pool.send("a", may_send=lambda: not ended.is_set())
             ended.set()
-            assert await client.outcome(1) is Outcome.NOT_SENT
-            client.send("b")  # reuses the connection
-            assert await client.outcome(2) is Outcome.SUCCESS
-            assert [seen.request_id for seen in server.received] == ["b"]
+            assert await pool.outcome(1) is Outcome.NOT_SENT
+            pool.send("b")  # reuses the connection
+            assert await pool.outcome(2) is Outcome.SUCCESS
+            assert [message.request_id for message in server.received] == ["b"]
             assert server.accepted_connections == 1
 
     run(test())
@@ -202,12 +202,12 @@
 def test_idle_connections_are_closed_before_the_keepalive_time_of_the_server() -> None:
     async def test() -> None:
         server = Server()
-        async with running(server):
-            client = PoolUnderTest(server.address, keepalive_ms=400.0)
-            client.send("a")
-            assert await client.outcome(1) is Outcome.SUCCESS
+        async with pool_with_server(server):
+            pool = PoolUnderTest(server.address, keepalive_ms=400.0)
+            pool.send("a")
+            assert await pool.outcome(1) is Outcome.SUCCESS
             await until(lambda: server.closed_connections == 1)
-            assert client.pool.connection_count() == 0
+            assert pool.connection_pool.connection_count() == 0
 
     run(test())
 
@@ -216,17 +216,17 @@
     async def test() -> None:
         server = Server()
         server.may_respond.clear()
-        async with running(server) as client:
-            client.send("a")
-            client.send("b")
+        async with pool_with_server(server) as pool:
+            pool.send("a")
+            pool.send("b")
             await until(lambda: len(server.received) == 2)
             server.may_respond.set()
-            await client.outcome(2)
+            await pool.outcome(2)
             for n in range(3, 6):
-                client.send(f"{n}")
-                await client.outcome(n)
-            assert len({seen.connection for seen in server.received[2:]}) == 1
-            client.pool.close_idle(1)
+                pool.send(f"{n}")
+                await pool.outcome(n)
+            assert len({message.connection for message in server.received[2:]}) == 1
+            pool.connection_pool.close_idle(1)
             await until(lambda: server.closed_connections == 2)
 
     run(test())
@@ -251,15 +251,15 @@
     monkeypatch.setattr(server_connection, "REUSE_DELAY_MS", 60_000.0)
 
     async def test() -> None:
-        async with running(RepeatingServer()) as client:
-            client.send("a")
-            assert await client.outcome(1) is Outcome.SUCCESS
-            client.send("b")
-            assert await client.outcome(2) is Outcome.SUCCESS
-            bodies = [response.body for response in client.responses if response is not None]
+        async with pool_with_server(RepeatingServer()) as pool:
+            pool.send("a")
+            assert await pool.outcome(1) is Outcome.SUCCESS
+            pool.send("b")
+            assert await pool.outcome(2) is Outcome.SUCCESS
+            bodies = [response.body for response in pool.responses if response is not None]
             assert bodies == [b"for a", b"for b"]
             # The first connection is closed, because a response arrives on it that no request awaits.
-            await until(lambda: client.pool.connection_count() == 1)
+            await until(lambda: pool.connection_pool.connection_count() == 1)
 
     run(test())
 
@@ -290,12 +290,12 @@
     error: Exception, outcome: Outcome, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        client = PoolUnderTest("127.0.0.1:1")
-        client.pool._loop = cast(asyncio.AbstractEventLoop, FailingLoop(error))
+        pool = PoolUnderTest("127.0.0.1:1")
+        pool.connection_pool._loop = cast(asyncio.AbstractEventLoop, FailingLoop(error))
         with caplog.at_level(logging.CRITICAL):
-            client.send("a")
-            assert await client.outcome(1) is outcome
-        await until(lambda: client.pool.connection_count() == 0)
+            pool.send("a")
+            assert await pool.outcome(1) is outcome
+        await until(lambda: pool.connection_pool.connection_count() == 0)
 
     run(test())
 
@@ -303,10 +303,10 @@
 def test_an_attempt_without_an_available_descriptor_is_not_sent() -> None:
     async def test() -> None:
         server = Server()
-        async with running(server) as client:
-            client.pool._available_descriptors = lambda: 0
-            client.send("a")
-            assert await client.outcome(1) is Outcome.NOT_SENT
+        async with pool_with_server(server) as pool:
+            pool.connection_pool._available_descriptors = lambda: 0
+            pool.send("a")
+            assert await pool.outcome(1) is Outcome.NOT_SENT
             assert not server.accepted_connections
 
     run(test())
@@ -315,16 +315,16 @@
 def test_an_attempt_aborted_while_connecting_leaves_no_connection() -> None:
     async def test() -> None:
         server = Server()
-        async with running(server) as client:
+        async with pool_with_server(server) as pool:
             for n in range(20):
-                attempt = client.send("a")
+                attempt = pool.send("a")
                 for _ in range(n % 4):  # aborts at each step of connecting
                     await asyncio.sleep(0)
                 attempt.abort(Outcome.CANCELLED)
-            assert client.outcomes == [Outcome.CANCELLED] * 20
+            assert pool.outcomes == [Outcome.CANCELLED] * 20
             await until(
                 lambda: (
-                    client.pool.connection_count() == 0
+                    pool.connection_pool.connection_count() == 0
                     and server.closed_connections == server.accepted_connections
                 )
             )
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -148,7 +148,9 @@
             await idle.connect(limit + 100)
             await until_ready(environment.address)  # uses the endpoints of the configuration file
             pending = await send_pending_requests(environment.address)
-            await until(lambda: len({seen.request_id for seen in old.received}) == PENDING_REQUEST_COUNT)
+            await until(
+                lambda: len({message.request_id for message in old.received}) == PENDING_REQUEST_COUNT
+            )
             await idle.connect(limit + 100)
             assert await status_of(environment.address, READY_CHECK) == 200
 
@@ -158,7 +160,7 @@
                 await idle.connect(limit + 100)
                 await until(lambda: environment.agent.watches() >= 1)
             assert await status_of(environment.address, request("fresh")) == 200
-            assert "fresh" in [seen.request_id for seen in new.received]
+            assert "fresh" in [message.request_id for message in new.received]
 
             # Opening the new configuration file needs a free descriptor.
             await idle.connect(limit + 100)
@@ -167,7 +169,7 @@
             async with asyncio.timeout(MAX_RELOAD_LATENCY_S):
                 await until(lambda: other_agent.watches() >= 1)
             assert await status_of(environment.address, request("moved")) == 200
-            assert [seen.request_id for seen in other.received] == ["moved"]
+            assert [message.request_id for message in other.received] == ["moved"]
 
             for client in pending:
                 client.writer.close()
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -73,7 +73,7 @@
             await until(lambda: environment.agent.watches() > watches)
             assert await received_request_id(await stalled_server.accept()) is None
             assert (await client.read()).status == 200
-            assert [seen.request_id for seen in server.received] == ["a"]
+            assert [message.request_id for message in server.received] == ["a"]
 
     run(test())
 
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -29,7 +29,7 @@
             client.write(pipelined_requests(PIPELINED_COUNT))
             assert [(await client.read()).status for _ in range(PIPELINED_COUNT)] == [200] * PIPELINED_COUNT
             assert (await client.send_request("after")).status == 200
-            assert [seen.request_id for seen in server.received] == [
+            assert [message.request_id for message in server.received] == [
                 *(f"{n}" for n in range(PIPELINED_COUNT)),
                 "after",
             ]
@@ -89,7 +89,7 @@
             client.write(request("a") + request("b") + b"noise\r\n\r\n" + request("c"))
             assert [(await client.read()).status for _ in range(3)] == [200, 200, 400]
             assert await client.closed()
-            assert [seen.request_id for seen in server.received] == ["a", "b"]
+            assert [message.request_id for message in server.received] == ["a", "b"]
 
     run(test())
 
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -89,7 +89,7 @@
         server = Server(default=RESET)
         async with node_environment(tmp_path, server) as environment:
             assert (await environment.send_request("a", "pay")).status in (502, 503, 504)
-            assert [seen.request_id for seen in server.received] == ["a"]
+            assert [message.request_id for message in server.received] == ["a"]
 
     run(test())
     assert any("invariant broken" in message for message in caplog.messages)
--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -151,7 +151,9 @@
         return is_reading and is_readable(self._socket)
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed the connection or its sending side, and stop input if so.
+        """Return whether the client has closed the connection or its sending side.
+
+        If it has, its queued requests are dropped; the caller abandons the active request.
 
         The socket itself is polled, as the event loop may notice the close too late: timers and data of other
         sockets may be handled earlier in the same iteration of the loop. After a long iteration, or while
@@ -270,7 +272,7 @@
             self._close(CloseReason.NO_REQUEST if never_used else CloseReason.IDLE)
 
     def _fail_pending_requests(self) -> None:
-        """Answer the requests that precede a rejection with errors, so that the rejection is sent in time."""
+        """Answer the requests before a rejection with errors, so that the rejection can be sent in time."""
         response = Response(504, b"given up")
         if self._awaits_response:
             self._abandon_active_request(AbandonReason.REJECTION_DUE)
--- a/workspond/http/request_parser.py
+++ b/workspond/http/request_parser.py
@@ -57,12 +57,11 @@
         self._classes = classes
         self._internal_path_response = internal_path_response
         self._parser = httptools.HttpRequestParser(self)
+        self._messages: list[ParsedMessage] = []  # holds the messages that the last `feed` completed
         self.has_partial_message = False
         self.is_finished = False
-        # These describe the data of the last call of `feed`.
-        self._messages: list[ParsedMessage] = []
-        self._has_completed_message = False
-        self._received_at_ms = 0.0
+        self._has_completed_message = False  # refers to the data of the last `feed`
+        self._received_at_ms = 0.0  # refers to the data of the last `feed`
         self._start_message()
 
     def _start_message(self) -> None:
