--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -10,7 +10,7 @@
 
 from tests.peers import NodeEnvironment, Server, node_environment, run, until
 from workspond.clock import now_ms
-from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list, server_id
+from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list, server_id_from_name
 from workspond.discovery.incarnations import IncarnationTracker
 
 HOUR_S = 3600.0
@@ -133,7 +133,7 @@
     assert assigned_start_ms(tracker, list_of_one(1000.0, -math.inf)) is not None
     first_ms = assigned_start_ms(tracker, list_of_one(1000.0))
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 1000.0) == first_ms
-    tracker.forget(server_id("s"))
+    tracker.forget(server_id_from_name("s"))
     # The server returns with the same start, as after the loss of a region: it has not been restarted.
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 2000.0) == first_ms
     # A new start that lies earlier, because the server's clock was set back.
@@ -147,6 +147,6 @@
         name = f"s{number}"
         update = {"index": number, "snapshot": False, "endpoints": [entry(name, 1000.0)]}
         tracker.assign_start_times(read_endpoint_list(update), RECEIVED_AT_MS)
-        tracker.forget(server_id(name))
+        tracker.forget(server_id_from_name(name))
     assert len(tracker._removed) == 3
     assert not tracker._listed
--- a/tests/test_endpoint_list_reader.py
+++ b/tests/test_endpoint_list_reader.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.peers import Server, node_environment, run, until
-from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list, server_id
+from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list, server_id_from_name
 from workspond.discovery.endpoint_list_reader import EndpointListReader, InvalidEndpointListError
 from workspond.policy.endpoint import Endpoint, EndpointState
 
@@ -90,7 +90,7 @@
     changed = reader.read(
         list_body([entry(number, zone="b" if number == 7 else "a") for number in range(50)])
     )
-    assert [endpoint.server_id for endpoint in changed.endpoints] == [server_id("s7")]
+    assert [endpoint.server_id for endpoint in changed.endpoints] == [server_id_from_name("s7")]
     assert len(changed.unchanged_ids) == 49
 
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.peers import CLOSE, HANG, Server, node_environment, render_response, request, run, until
-from workspond.discovery.endpoint_list import server_id
+from workspond.discovery.endpoint_list import server_id_from_name
 
 UNUSABLE_RESPONSES = [
     CLOSE,
@@ -116,8 +116,8 @@
 
 def test_a_servers_number_depends_on_its_name_alone() -> None:
     """Replicas divide the fleet by these ids: they must agree in every process and at every release."""
-    assert server_id("s-5be2a07c") == 0x850D21AD14919D0C
-    assert len({server_id(f"s-{n}") for n in range(1000)}) == 1000
+    assert server_id_from_name("s-5be2a07c") == 0x850D21AD14919D0C
+    assert len({server_id_from_name(f"s-{n}") for n in range(1000)}) == 1000
 
 
 def test_ready_only_once_a_server_is_known(tmp_path: Path) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -187,13 +187,13 @@
             async with node_environment(tmp_path, server) as environment:
                 assert environment.node is not None
                 reasons: list[str] = []
-                on_failure = environment.node.watch_failed
+                on_failure = environment.node.discovery_call_failed
 
-                def watch_failed(reason: str) -> None:
+                def discovery_call_failed(reason: str) -> None:
                     reasons.append(reason)
                     on_failure(reason)
 
-                monkeypatch.setattr(environment.node, "watch_failed", watch_failed)
+                monkeypatch.setattr(environment.node, "discovery_call_failed", discovery_call_failed)
                 environment.node._discovery.change_address(listener.getsockname())
                 await until(lambda: sum("can't connect" in reason for reason in reasons) >= 2)
                 assert (await environment.send_request("a")).status == 200
--- a/tests/test_start_and_stop.py
+++ b/tests/test_start_and_stop.py
@@ -45,9 +45,9 @@
         ("{}", "'name' is missing"),
         ('{"name":"n","listen":"nowhere"}', "nowhere"),
         ('{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"zz"}', "seed"),
-        ('{"name":"n","listen":"127.0.0.1:\u00b2"}', "no address"),
-        ('{"name":"n","listen":"a\\u0000b:80"}', "no address"),
-        ('{"name":"n","listen":"127.0.0.1:1","discovery":"' + "a" * 64 + '.b:80"}', "no address"),
+        ('{"name":"n","listen":"127.0.0.1:\u00b2"}', "not an address"),
+        ('{"name":"n","listen":"a\\u0000b:80"}', "not an address"),
+        ('{"name":"n","listen":"127.0.0.1:1","discovery":"' + "a" * 64 + '.b:80"}', "not an address"),
         (
             '{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1'
             + "0" * 400
--- a/tests/test_update_latency.py
+++ b/tests/test_update_latency.py
@@ -191,18 +191,18 @@
         ):
             assert environment.node is not None
             watcher = environment.node._discovery
-            on_failure = watcher._listener.watch_failed
+            on_failure = watcher._listener.discovery_call_failed
             reasons: list[str] = []
             failures_to_come = list(failures)
 
-            def watch_failed(reason: str) -> None:
+            def discovery_call_failed(reason: str) -> None:
                 reasons.append(reason)
                 agent.fail_by(failures_to_come.pop(0) if failures_to_come else None)
                 on_failure(reason)
 
             watcher.change_address(("127.0.0.1", agent.port))
             await until(lambda: agent.requests_received == 2)  # a poll and a watch
-            monkeypatch.setattr(watcher._listener, "watch_failed", watch_failed)
+            monkeypatch.setattr(watcher._listener, "discovery_call_failed", discovery_call_failed)
             agent.endpoints.append(new.entry())  # from now on discovery has the update
             agent.reset_connections()  # the first failure, before those named: the watch breaks
             await until(
--- a/workspond/__main__.py
+++ b/workspond/__main__.py
@@ -1,6 +1,6 @@
 """Runs a node with the configuration file that NODE_CONFIG names.
 
-SIGHUP has the node read that file again. SIGTERM shuts it down once all its requests are answered.
+SIGHUP reloads that file. SIGTERM shuts the node down after all its requests have been answered.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 EXIT_OK = 0
 EXIT_CANNOT_START = 2
-# A node that restarts has to be ready within 6 s where descriptors or memory run short.
+# Listening is retried for 4 s while the process is short of descriptors or memory, because a node that
+# restarts must be ready within 6 s.
 LISTEN_RETRY_INTERVAL_S = 0.2
 MAX_LISTEN_RETRIES = 20
 
@@ -33,7 +34,7 @@
 
 
 async def run(path: str, writer: LineWriter) -> int:
-    """Serve until SIGTERM; returns the exit status."""
+    """Serve until SIGTERM, and return the exit status."""
     try:
         config = read_config(path)
     except InvalidConfigError as error:
@@ -52,17 +53,17 @@
         writer.write(f"workspond: can't listen on {format_address(config.listen)}: {error}")
         return EXIT_CANNOT_START
     await serve(node, address, shutdown_requested)
-    # As it closes, the loop gives the signals back to the system, whose default is to end the process with an
-    # error.
+    # When the event loop closes, it restores the default handling of signals: a signal that arrives after
+    # that would end the process with an error.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     return EXIT_OK
 
 
 async def listen(node: Node, address: Address) -> Address:
-    """Accept clients at an address; where descriptors or memory run short, this is retried for a while.
+    """Start to accept clients at an address, with retries while descriptors or memory are short.
 
     Returns:
-        The address, with the port that port 0 stands for.
+        The address, with the actual port if port 0 was given.
 
     Raises:
         OSError: If the node can't listen there.
@@ -80,9 +81,9 @@
 
 
 async def serve(node: Node, address: Address, shutdown_requested: asyncio.Event) -> None:
-    """Run a node that listens, until its graceful shutdown is over."""
+    """Run a listening node until its graceful shutdown has completed."""
     node.start()
-    # What was made at the start lives to the end: full collections need not look at it.
+    # The objects created so far live as long as the process, so garbage collections can skip them.
     gc.collect()
     gc.freeze()
     watch_event_loop_lag(asyncio.get_running_loop())
@@ -94,8 +95,8 @@
 
 
 def main() -> int:
-    """Run the program; returns the exit status."""
-    # Until there are handlers signals are blocked: those that come are kept.
+    """Run the program, and return the exit status."""
+    # Signals are blocked until their handlers are installed; signals that arrive before that stay pending.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     open_standard_descriptors()
     writer = LineWriter()
--- a/workspond/active_request.py
+++ b/workspond/active_request.py
@@ -12,26 +12,26 @@
 
 
 class RequestOwner(Protocol):
-    """Keeps the active requests."""
+    """The registry of active requests, as a request uses it."""
 
     def abandon(self, request: ActiveRequest, reason: str) -> None:
-        """End a request that nobody waits for any more."""
+        """End a request without a response, because its client no longer waits for one."""
 
 
 class ActiveRequest:
-    """A request that is owed its answer, with its attempts.
+    """A request that has been accepted and not answered yet, with its attempts.
 
     Attributes:
-        key: The node's own id of the request, which the policy knows it by.
-        message: What the client sent.
-        receiver: Who is given the answer.
-        received_at_ms: When its last byte was read.
-        deadline_at_ms: When it has to be answered.
-        deadline_timer: Fails the request at its deadline.
-        attempts_started: How many attempts have been begun.
+        key: The id that the node has assigned to the request and by which the policy identifies it.
+        message: The request as the client sent it.
+        receiver: Sends the response to the client.
+        received_at_ms: When the last byte of the request was read.
+        deadline_at_ms: When the request has to be answered.
+        deadline_timer: The timer that fails the request at its deadline.
+        attempts_started: How many attempts have been started.
         attempts_ended: How many of these have ended.
-        history: What was written of it to servers.
-        attempt_records: How its attempts ended, for the log.
+        history: Which attempts have been written to servers, and whether one may have run.
+        attempt_records: How the attempts ended, for the log.
     """
 
     __slots__ = (
@@ -69,5 +69,5 @@
         self.attempt_records: list[EndedAttempt | BlockedAttempt] = []
 
     def abandon(self, reason: str) -> None:
-        """End the request, as nobody waits for its answer any more."""
+        """End the request without a response, because its client no longer waits for one."""
         self._owner.abandon(self, reason)
--- a/workspond/attempt_runner.py
+++ b/workspond/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Makes the attempts that the policy decides on, and reports how they ended."""
+"""Sends the attempts that the policy decides on, and reports their outcomes to the policy."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     """One attempt of a request, as the connection pool's `AttemptHandler`.
 
     Attributes:
-        runner: Hears of the attempt's end.
+        runner: Is notified when the attempt ends.
         request: The request.
         number: The attempt's number within its request, from 0.
-        server_id: The server that it goes to.
+        server_id: The server that the attempt is sent to.
         address: The server's address.
-        started_at_ms: When the attempt was begun.
-        timeout_at_ms: When it is given up.
-        send_until_ms: The last moment to write it at.
-        is_written: Whether it has been given to a connection.
+        started_at_ms: When the attempt was started.
+        timeout_at_ms: When the attempt times out.
+        send_until_ms: The latest time at which the request may be written.
+        is_written: Whether the request has been written to a connection.
     """
 
     runner: AttemptRunner
@@ -48,11 +48,11 @@
     is_written: bool = False
 
     def may_send(self) -> bool:
-        """Return whether the request may still be written, now that there is a connection."""
+        """Return whether the request may still be written, now that the connection is open."""
         return self.runner.may_send(self)
 
     def render_request(self) -> bytes:
-        """Return the request's bytes, with the time that is left now, and note that they are written."""
+        """Return the request's bytes, which state the remaining time, and record the attempt as written."""
         self.is_written = True
         self.request.history.record_write()
         timeout_ms = max(0.0, self.timeout_at_ms - now_ms())
@@ -89,18 +89,18 @@
         self.in_flight: dict[tuple[str, int], Attempt] = {}
 
     def send(self, action: SendAttempt) -> None:
-        """Begin an attempt; one that must not be written ends at once as `NOT_SENT`."""
+        """Start an attempt; if it must not be written, it ends at once as `NOT_SENT`."""
         now = now_ms()
         request = self._requests.active.get(action.request_id)
         address = self._endpoints.addresses.get(action.server_id)
         send_until_ms = now + action.send_within_ms
-        refusal = self._check(request, action.server_id, address, send_until_ms)
+        refusal = self._check_send(request, action.server_id, address, send_until_ms)
         if request is None or address is None or refusal is not None:
             self._report_not_sent(action, request)
             return
-        # Limited to what is left: an outcome must come before the answer is due.
-        left_ms = request.deadline_at_ms - DEADLINE_MARGIN_MS - now
-        timeout_ms = max(0.0, min(action.timeout_ms, left_ms))
+        # The attempt has to end before its request must be answered.
+        remaining_ms = request.deadline_at_ms - DEADLINE_MARGIN_MS - now
+        timeout_ms = max(0.0, min(action.timeout_ms, remaining_ms))
         outgoing = OutgoingAttempt(
             runner=self,
             request=request,
@@ -111,9 +111,9 @@
             timeout_at_ms=now + timeout_ms,
             send_until_ms=send_until_ms,
         )
-        self._begin(outgoing, timeout_ms, new_connection=action.new_connection)
+        self._start(outgoing, timeout_ms, new_connection=action.new_connection)
 
-    def _begin(self, outgoing: OutgoingAttempt, timeout_ms: float, *, new_connection: bool) -> None:
+    def _start(self, outgoing: OutgoingAttempt, timeout_ms: float, *, new_connection: bool) -> None:
         outgoing.request.attempts_started += 1
         attempt = self._pool.send(
             outgoing.server_id, outgoing.address, outgoing, timeout_ms, new_connection=new_connection
@@ -135,14 +135,16 @@
             attempt.abort(Outcome.CANCELLED)
 
     def may_send(self, outgoing: OutgoingAttempt) -> bool:
-        """Return whether an attempt may still be written, now that its connection has been established."""
-        refusal = self._check(outgoing.request, outgoing.server_id, outgoing.address, outgoing.send_until_ms)
+        """Return whether an attempt may still be written, now that its connection is open."""
+        refusal = self._check_send(
+            outgoing.request, outgoing.server_id, outgoing.address, outgoing.send_until_ms
+        )
         return refusal is None
 
     def attempt_ended(
         self, outgoing: OutgoingAttempt, outcome: Outcome, response: ServerResponse | None
     ) -> None:
-        """Take the outcome of an attempt, and answer its request if the attempt succeeded."""
+        """Report the outcome of an attempt, and answer its request if the attempt succeeded."""
         request = outgoing.request
         self.in_flight.pop((request.key, outgoing.number), None)
         if outgoing.is_written:
@@ -164,12 +166,12 @@
             )
         )
 
-    def _check(
+    def _check_send(
         self, request: ActiveRequest | None, server_id: int, address: Address | None, send_until_ms: float
     ) -> SendRefusal | None:
-        """Return why an attempt must not be written now, None if it may.
+        """Return why an attempt must not be written now; None if it may be written.
 
-        It is asked when the attempt is decided, and once more when its connection has been established.
+        This is checked when the policy decides on the attempt and again when its connection is open.
         """
         if request is None or request.key not in self._requests.active:
             return SendRefusal.REQUEST_ENDED
@@ -189,7 +191,7 @@
 
 
 def _record_end(outgoing: OutgoingAttempt, outcome: Outcome, duration_ms: float) -> None:
-    """Note the outcome for the log line of a request that ends badly."""
+    """Record the outcome for the log line that is written if the request fails."""
     request = outgoing.request
     request.attempts_ended += 1
     start_ms = outgoing.started_at_ms - request.received_at_ms
--- a/workspond/clock.py
+++ b/workspond/clock.py
@@ -1,4 +1,4 @@
-"""The node's clock."""
+"""The node's monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """Return the current moment in milliseconds, on a monotonic clock that starts anywhere."""
+    """Return the time of a monotonic clock in milliseconds; its zero point is undefined."""
     return time.monotonic() * 1000.0
--- a/workspond/config.py
+++ b/workspond/config.py
@@ -1,4 +1,4 @@
-"""The node's configuration: the JSON file that NODE_CONFIG names, as typed values."""
+"""The node's configuration, read from the JSON file that NODE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from workspond.policy.settings import Settings
 from workspond.settings_reader import read_settings
 
-DEFAULT_MAX_DESCRIPTORS = 1024  # where the file sets no limit
+DEFAULT_MAX_DESCRIPTORS = 1024  # used if the file sets no limit
 HEX_DIGITS = re.compile("[0-9a-fA-F]+")
 
 
 class InvalidConfigError(Exception):
-    """A configuration that no node can be started with."""
+    """The configuration can't be used."""
 
 
 class UnreadableConfigError(InvalidConfigError):
-    """A configuration whose file can't be opened or read now; later it may be."""
+    """The configuration file can't be opened or read now; a later attempt may succeed."""
 
 
 @dataclass(slots=True)
 class Config:
-    """The configuration that a node starts with.
+    """The configuration of a node.
 
     Attributes:
         name: The node's name, for its log.
-        listen: Where the node accepts clients.
-        discovery: Where the discovery agent is called.
+        listen: The address at which the node accepts clients.
+        discovery: The address of the discovery agent.
         seed: The seed of the node's random numbers.
-        max_descriptors: How many file descriptors the node may hold.
-        cached_endpoints: The endpoint list as the node last had it, perhaps long ago.
+        max_descriptors: The maximum number of file descriptors that the node may have open.
+        cached_endpoints: The last endpoint list that the node had; it may be out of date.
         settings: The settings of the load-balancing policy.
     """
 
@@ -52,7 +52,7 @@
 
     Raises:
         UnreadableConfigError: If the file can't be opened or read now.
-        InvalidConfigError: If its contents are no configuration; the text is one line that says why.
+        InvalidConfigError: If it is not a valid configuration; the message is a single line.
     """
     try:
         return _read_fields(_load_object(path))
--- a/workspond/descriptor_limits.py
+++ b/workspond/descriptor_limits.py
@@ -1,28 +1,29 @@
-"""How the node divides the file descriptors that it may hold."""
+"""Division of the process's file descriptors between connections of clients and connections to servers."""
 
 from __future__ import annotations
 
 import resource
 
-# Of the limit: for the listener, discovery, the event loop, the log, and sockets that are half closed.
+# Reserved for the listener, discovery, the event loop, the log, and sockets that are half closed.
 RESERVED_DESCRIPTORS = 24
-# Of the limit: the rest is for attempts (one for each client of about a third of it) and idle connections.
+# The part of the limit that clients may use. The rest is for connections to servers: idle ones, and one
+# attempt per client if the number of clients with requests in flight is about a third of the limit.
 CLIENT_CONNECTION_FRACTION = 0.55
 
 
-def usable_descriptors(configured: int) -> int:
-    """Return how many descriptors the process may hold, by its configuration and the system's limit."""
+def effective_descriptor_limit(configured: int) -> int:
+    """Return the lower one of the configured limit and the system's limit on open file descriptors."""
     system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if system_limit == resource.RLIM_INFINITY:
         return configured
     return min(configured, system_limit)
 
 
-def max_client_connections(descriptors: int) -> int:
-    """Return how many connections of clients may be open, of so many descriptors."""
-    return int(CLIENT_CONNECTION_FRACTION * descriptors)
+def max_client_connections(descriptor_limit: int) -> int:
+    """Return how many connections of clients may be open under a limit on descriptors."""
+    return int(CLIENT_CONNECTION_FRACTION * descriptor_limit)
 
 
-def available_descriptors(descriptors: int, client_connections: int, server_connections: int) -> int:
-    """Return how many descriptors are left for new connections to servers; may be negative."""
-    return descriptors - RESERVED_DESCRIPTORS - client_connections - server_connections
+def available_descriptors(descriptor_limit: int, client_connections: int, server_connections: int) -> int:
+    """Return how many new connections to servers may be opened; the number may be negative."""
+    return descriptor_limit - RESERVED_DESCRIPTORS - client_connections - server_connections
--- a/workspond/discovery/__init__.py
+++ b/workspond/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: calls to the discovery agent, the watch on the endpoint list, and the lists that it returns."""
+"""Service discovery: calls a discovery agent and keeps the endpoint list up to date."""
--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -1,4 +1,4 @@
-"""Calls to one agent of discovery, one at a time, on a connection that is kept between them."""
+"""Calls to one discovery agent, one at a time, on a connection that is reused for all of them."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from workspond.http.response_parser import ParsedResponse, ParseState, ResponseParser, ResponseRules
 
 CONNECT_TIMEOUT_S = 0.5
-"""How long a connection may take to open. A broken link would otherwise use up the whole time of a call."""
+"""Timeout for opening a connection. Without it, a broken link would use up the whole timeout of a call."""
 
 STALL_TIMEOUT_S = 1.0
-"""A response that has begun is waited for as long as more of it arrives within this time."""
+"""A call fails if its response has begun and nothing more of it arrives for this time."""
 
 MAX_CALL_S = 15.0
-"""How long a call may take, however steadily its response arrives; two such calls fit into a start."""
+"""The maximum duration of a call, even if its response keeps arriving. Two such calls fit into a start."""
 
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-"""The limit of a response, with its head."""
+"""The maximum size of a response, including its head."""
 
 RESPONSE_RULES = ResponseRules(max_message_bytes=MAX_RESPONSE_BYTES)
 
 
 class CallFailure(StrEnum):
-    """Why a call has failed. The text is counted and logged."""
+    """Why a call has failed. The values are written to the log and counted."""
 
     CANNOT_CONNECT = "can't connect"
     MALFORMED_RESPONSE = "malformed response"
@@ -36,25 +36,25 @@
 
 
 class AgentClientOwner(Protocol):
-    """Whoever makes the calls."""
+    """Makes calls and handles their results."""
 
     def response_received(self, client: AgentClient, status: int, body: bytes) -> None:
-        """A call has its complete response; the next one may be made."""
+        """Handle the complete response to a call. The next call may be made."""
 
     def call_failed(self, client: AgentClient, reason: str) -> None:
-        """A call has failed; the next one may be made.
+        """Handle a failed call. The next call may be made.
 
         Args:
             client: The client that made the call.
-            reason: A text of `CallFailure`, perhaps with details after a colon.
+            reason: A value of `CallFailure`, possibly with details after a colon.
         """
 
     def call_overdue(self, client: AgentClient) -> None:
-        """Nothing of a response has arrived in the call's time; it may still arrive."""
+        """Handle a call whose response has not begun within the call's timeout; it may still arrive."""
 
 
 class AgentConnection(asyncio.Protocol):
-    """A connection to an agent, which reports responses, their progress, and its own end to its client."""
+    """A connection to an agent. It reports responses, their progress and the loss of the connection."""
 
     def __init__(self, client: AgentClient) -> None:
         self._client = client
@@ -63,24 +63,25 @@
         self._parser = ResponseParser(RESPONSE_RULES)
 
     def send(self, request: bytes) -> None:
-        """Write a request; what is received from now on is its response."""
+        """Write a request, and parse all data that is received after it as its response."""
         self._parser.start()
         self._transport.write(request)
 
     def close(self) -> None:
-        """Close the connection now, if it was ever open."""
+        """Close the connection immediately, if it has been opened."""
         if self._is_connected:
             self._transport.abort()
 
-    # Callbacks of the transport
+    # Methods of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's do not inherit from it
+        """Keep the transport of the opened connection."""
+        # uvloop's transports don't inherit from asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._is_connected = True
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of a response."""
+        """Parse the next part of a response, and report what it leads to."""
         match self._parser.feed(data):
             case ParseState.COMPLETE:
                 self._report_response()
@@ -92,12 +93,12 @@
                 self._client.response_progressed(self)
 
     def eof_received(self) -> None:
-        """Take the agent's orderly end, not a reset: it completes a response with no length."""
+        """Handle an orderly close by the agent: unlike a reset, it completes a response without a length."""
         if self._parser.feed_eof():
             self._report_response()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Report the end of the connection."""
+        """Report the loss of the connection."""
         self._client.connection_failed(self, CallFailure.CONNECTION_LOST)
 
     def _report_response(self) -> None:
@@ -109,13 +110,13 @@
     """Calls to the agent at one address.
 
     Attributes:
-        address: Where the agent listens.
+        address: The address of the agent.
         is_busy: Whether a call is in flight.
-        is_overdue: Whether the time of the last call has passed with nothing of its response received.
-        last_index: The version of the endpoint list that this agent sent last.
-        needs_complete_list: Whether the next call has to get the complete list. The first one does: versions
-            need not be those that another agent sent or an earlier process received. Such a call is also
-            answered at once where nothing has changed, unlike a watch.
+        is_overdue: Whether the timeout of the last call has passed before its response began.
+        last_index: The version of the last endpoint list that this agent sent.
+        needs_complete_list: Whether the next call must request the complete list. The first call must,
+            because versions known from another agent or an earlier process may not be valid for this agent.
+            Unlike a watch, such a call is answered at once even if nothing has changed.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, owner: AgentClientOwner) -> None:
@@ -129,15 +130,16 @@
         self._connection: AgentConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
         self._progress_timer: asyncio.TimerHandle | None = None
-        self._call_started_at_s = 0.0  # by the event loop's clock, as the next one
-        self._last_received_at_s: float | None = None  # None: nothing of the response so far
+        # Both times are on the event loop's clock.
+        self._call_started_at_s = 0.0
+        self._last_received_at_s: float | None = None  # None until the response begins
 
     def call(self, target: str, timeout_s: float) -> None:
-        """Make a call; the owner is told how it ends.
+        """Make a call, whose result is reported to the owner.
 
         Args:
-            target: The request target, path and query.
-            timeout_s: If nothing of the response arrives within this time, the call is reported as overdue.
+            target: The request target: path and query.
+            timeout_s: The call is reported as overdue if its response does not begin within this time.
         """
         host, port = self.address
         request = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
@@ -145,7 +147,8 @@
         self.is_overdue = False
         self._call_started_at_s = self._loop.time()
         self._last_received_at_s = None
-        # A broken link gives no sign, not even on TCP: without a timer the call would wait for ever.
+        # TCP does not report a broken link to a side that only waits, so without a timer the call might never
+        # end.
         self._check_progress_in(timeout_s)
         if self._connection is not None:
             self._connection.send(request)
@@ -153,7 +156,7 @@
             self._connect_task = self._loop.create_task(self._connect_and_send(request))
 
     def close(self) -> None:
-        """End the call in flight, without a report, and close the connection."""
+        """End the call in flight without a report, and close the connection."""
         self._end_call()
         self._close_connection()
 
@@ -163,12 +166,12 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.create_connection(lambda: connection, *self.address)
-        except OSError as error:  # a timeout is one too
+        except OSError as error:  # includes TimeoutError
             if self._connect_task is task:
                 self._fail(f"{CallFailure.CANNOT_CONNECT}: {error}")
             return
         finally:
-            # The call has ended meanwhile: nobody uses the connection, even if it has been opened.
+            # If the call has ended while the connection was being opened, the connection is not needed.
             if self._connect_task is not task:
                 connection.close()
         if self._connect_task is task:
@@ -176,10 +179,10 @@
             self._connect_task = None
             connection.send(request)
 
-    # Reports of connections. One that is no longer in use may still report.
+    # Reports from connections, which may include connections that are no longer in use.
 
     def response_progressed(self, connection: AgentConnection) -> None:
-        """More of a response has been received."""
+        """Record that a further part of the response has been received."""
         if not self.is_busy:
             self.connection_failed(connection, CallFailure.UNEXPECTED_RESPONSE)
         elif connection is self._connection:
@@ -188,7 +191,7 @@
     def response_completed(
         self, connection: AgentConnection, response: ParsedResponse, *, can_keep_alive: bool
     ) -> None:
-        """A complete response has been received."""
+        """End the call and pass its response to the owner."""
         if connection is not self._connection or not self.is_busy:
             self.connection_failed(connection, CallFailure.UNEXPECTED_RESPONSE)
             return
@@ -198,7 +201,7 @@
         self._owner.response_received(self, response.status, response.body)
 
     def connection_failed(self, connection: AgentConnection, reason: CallFailure) -> None:
-        """A connection is of no further use; the call in flight on it fails."""
+        """Close a failed connection, and fail the call in flight on it."""
         if connection is not self._connection:
             return
         if self.is_busy:
@@ -206,13 +209,13 @@
         else:
             self._close_connection()
 
-    # The call in flight
+    # Progress and end of the call in flight
 
     def _check_progress_in(self, delay_s: float) -> None:
         self._progress_timer = self._loop.call_later(delay_s, self._check_progress)
 
     def _check_progress(self) -> None:
-        """Fail the call if its response has stalled; report it as overdue if none has begun."""
+        """Fail the call if its response has stalled; report the call as overdue if no response has begun."""
         if self._last_received_at_s is None:
             self._check_progress_in(STALL_TIMEOUT_S)
             if not self.is_overdue:
--- a/workspond/discovery/endpoint_list.py
+++ b/workspond/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the form in which discovery writes it, as typed values."""
+"""The endpoint list as typed values, and its JSON form on the wire."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.REMOVED,
 }
-SERVER_ID_BYTES = 8  # 64 bits, so that two names never share an id
+SERVER_ID_BYTES = 8  # with 64 bits, a collision of two names is practically impossible
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """A list of servers as received from discovery: complete, or an incremental update.
+    """A complete list of servers or an incremental update, as received from discovery.
 
     Attributes:
-        index: The version of the list, counted by the agent that sent it.
-        complete: Whether this replaces the list as known; otherwise it holds only the entries that changed.
-        endpoints: The entries. Those of a complete list may leave out servers that `unchanged_ids` names.
+        index: The version of the list, as numbered by the agent that sent it.
+        complete: Whether this replaces the previous list; otherwise it contains only the changed entries.
+        endpoints: The entries, except those of the servers in `unchanged_ids`.
         addresses: The address of each entry, by server id.
-        start_times_ms: When the process of each entry last started, by server id: Unix time in ms, 0 for long
-            ago. `IncarnationTracker` sets the entries' `started_at_ms` from it.
-        previous_response_at_ms: When the answer before this one was received, on the node's clock.
-        unchanged_ids: The servers of a complete list whose entries are the same as in the list as known.
+        start_times_ms: When the process of each server last started, by server id, in Unix time in ms; 0 if
+            it has run for long. `IncarnationTracker` converts it to `started_at_ms` of the entries.
+        previous_response_at_ms: When the previous response was received, on the node's clock.
+        unchanged_ids: The servers of a complete list whose entries are the same as in the previous list.
     """
 
     index: int
@@ -43,18 +43,18 @@
     unchanged_ids: Set[int] = frozenset()
 
 
-def server_id(name: str) -> int:
+def server_id_from_name(name: str) -> int:
     """Return the id of a server, which is the same at every node.
 
-    The nodes divide the servers among themselves by id, so `hash()` will not do: it differs between
-    processes.
+    The nodes divide the servers among themselves by id, so `hash()` is not suitable: its values differ
+    between processes.
     """
     digest = hashlib.blake2b(name.encode(), digest_size=SERVER_ID_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 def read_endpoint_list(document: Json) -> EndpointList:
-    """Read a list as discovery writes it.
+    """Read a list from its JSON form.
 
     Raises:
         MalformedInputError: If a key is missing or a value is not allowed.
@@ -63,10 +63,10 @@
     addresses: dict[int, Address] = {}
     start_times_ms: dict[int, float] = {}
     for entry in objects(document, "endpoints"):
-        entry_id = server_id(get(entry, "name", str))
-        start_times_ms[entry_id] = optional(entry, "since_ms", NUMBER, 0)
-        endpoints.append(_read_endpoint(entry_id, entry))
-        addresses[entry_id] = parse_address(get(entry, "address", str))
+        server_id = server_id_from_name(get(entry, "name", str))
+        start_times_ms[server_id] = optional(entry, "since_ms", NUMBER, 0)
+        endpoints.append(_read_endpoint(server_id, entry))
+        addresses[server_id] = parse_address(get(entry, "address", str))
     return EndpointList(
         index=get(document, "index", int),
         complete=get(document, "snapshot", bool),
@@ -76,10 +76,10 @@
     )
 
 
-def _read_endpoint(entry_id: int, entry: Json) -> Endpoint:
-    """Read what the policy knows of a server; its start is set by `IncarnationTracker`."""
+def _read_endpoint(server_id: int, entry: Json) -> Endpoint:
+    """Read an entry without the start time, which `IncarnationTracker` sets later."""
     return Endpoint(
-        server_id=entry_id,
+        server_id=server_id,
         zone=optional(entry, "zone", str, ""),
         machine_type=optional(entry, "type", str, ""),
         cell=optional(entry, "group", int, 0),
--- a/workspond/discovery/endpoint_list_reader.py
+++ b/workspond/discovery/endpoint_list_reader.py
@@ -1,8 +1,8 @@
-"""Reads the endpoint lists that discovery writes and parses only those entries that have changed.
+"""Reads endpoint lists from discovery and parses only the entries that have changed.
 
-A complete list of some thousand servers comes again and again with little or nothing new in it. So its text
-is cut into entries, which are compared as text with those of the list before; only entries whose text is new
-are parsed. A list that is not of the usual form is parsed in full.
+Discovery sends complete lists of several thousand servers repeatedly, with few or no changes. So the text of
+a list is split into entries, which are compared as text with those of the previous list. Only entries with
+new text are parsed. A list that is not in the usual form is parsed in full.
 """
 
 from __future__ import annotations
@@ -16,26 +16,31 @@
 from workspond.policy.endpoint import EndpointState
 
 ENDPOINTS_PATTERN = re.compile(r'"endpoints"\s*:\s*\[')
-ENTRY_PATTERN = re.compile(r"\s*(\{[^{}]*\})\s*([,\]])")  # an entry, and the comma or bracket behind it
+ENTRY_PATTERN = re.compile(r"\s*(\{[^{}]*\})\s*([,\]])")  # an entry and the comma or bracket that follows
 
 
 class InvalidEndpointListError(Exception):
-    """A text that is not an endpoint list."""
+    """The text is not an endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class SplitList:
-    """The text of a list, cut into entries."""
+    """A list whose text has been split into entries.
 
-    envelope: Json  # the parsed list, with no entries
-    entry_texts: list[str]  # not parsed
+    Attributes:
+        envelope: The parsed list without its entries.
+        entry_texts: The unparsed text of each entry.
+    """
+
+    envelope: Json
+    entry_texts: list[str]
 
 
 def split_list(text: str) -> SplitList | None:
-    """Cut the text of a list into its entries without parsing them.
+    """Split the text of a list into its entries without parsing them.
 
     Returns:
-        The parts; None if the list is not of the usual form, or is not a list at all.
+        The parts; None if the text is not a list in the usual form.
     """
     start = ENDPOINTS_PATTERN.search(text)
     if start is None:
@@ -55,33 +60,33 @@
 
 
 def _parse_envelope(text: str) -> Json | None:
-    """Parse a list without its entries; None if other entries than its own were cut out."""
+    """Parse a list whose entries have been cut out; return None if the entries were not its own."""
     try:
         envelope = json.loads(text)
     except (ValueError, RecursionError):
         return None
-    # If "endpoints" is not empty here, or not there, the entries belonged to an object inside.
+    # If "endpoints" is missing or not empty here, the entries that were cut out belong to a nested object.
     if not isinstance(envelope, dict) or envelope.get("endpoints") != []:
         return None
     return envelope
 
 
 class EndpointListReader:
-    """Reads the lists of one node, in the order in which they come."""
+    """Reads all lists that a node receives, in order."""
 
     def __init__(self) -> None:
-        # The entries of the list as known, where their text is known too. The two maps are inverse.
+        # The text of the current entries, as far as it is known. The two maps are inverse to each other.
         self._text_by_id: dict[int, str] = {}
         self._id_by_text: dict[str, int] = {}
 
     def read(self, body: bytes) -> EndpointList:
         """Read a list.
 
-        Entries of a complete list that have not changed are named in `unchanged_ids` only. So the caller has
-        to take every complete list that is read: the next one is compared with it.
+        Unchanged entries of a complete list are included only in `unchanged_ids`. So the caller must apply
+        every complete list, because the next one is compared with it.
 
         Raises:
-            InvalidEndpointListError: If the text is not a list; lists to come are not affected.
+            InvalidEndpointListError: If the text is not a list; later lists are not affected.
         """
         try:
             endpoints = self._read(body)
@@ -104,10 +109,10 @@
         return self._read_in_full(body)
 
     def _read_in_full(self, body: bytes) -> EndpointList:
-        """Parse all of a list, of any form."""
+        """Parse a list of any form in full."""
         document = json.loads(body)
         if not isinstance(document, dict):
-            raise MalformedInputError("not an object")
+            raise MalformedInputError("the endpoint list must be an object")
         endpoints = read_endpoint_list(document)
         if endpoints.complete:
             self._text_by_id.clear()
@@ -115,10 +120,10 @@
         return endpoints
 
     def _read_changed_entries(self, parts: SplitList) -> EndpointList | None:
-        """Parse those entries of a complete list whose text is new.
+        """Parse the entries of a complete list whose text is new.
 
         Returns:
-            The list; None if it names a server twice, so that the order of the entries counts.
+            The list; None if it contains a server twice, so that the order of its entries matters.
         """
         unchanged_texts: dict[int, str] = {}
         new_texts: list[str] = []
@@ -130,8 +135,8 @@
                 unchanged_texts[known_id] = text
         new_entries = [json.loads(text) for text in new_texts]
         endpoints = read_endpoint_list(parts.envelope | {"endpoints": new_entries})
-        named_ids = unchanged_texts.keys() | {endpoint.server_id for endpoint in endpoints.endpoints}
-        if len(named_ids) < len(parts.entry_texts):
+        listed_ids = unchanged_texts.keys() | {endpoint.server_id for endpoint in endpoints.endpoints}
+        if len(listed_ids) < len(parts.entry_texts):
             return None
         endpoints.unchanged_ids = unchanged_texts.keys()
         self._text_by_id = unchanged_texts | {
@@ -143,7 +148,7 @@
         return endpoints
 
     def _forget(self, server_id: int) -> None:
-        """Have the server's entry in the next complete list parsed, as an update has changed it."""
+        """Forget the text of a server's entry after an update, so that its next entry is parsed."""
         text = self._text_by_id.pop(server_id, None)
         if text is not None:
             del self._id_by_text[text]
--- a/workspond/discovery/incarnations.py
+++ b/workspond/discovery/incarnations.py
@@ -1,12 +1,12 @@
-"""When the processes of servers started, on the node's own clock.
+"""Start times of the servers' processes, on the node's own clock.
 
-An incarnation is one run of a server's process. Discovery tells incarnations apart by the time when the
-process started, as Unix time.
+An incarnation is one run of a server's process. Discovery identifies an incarnation by the start time of the
+process, in Unix time.
 
 The node's wall clock may be wrong, and it may be stepped while the node runs. So a new incarnation is
-recognised by a change of the start time that discovery reports, never by comparison with the wall clock. The
-wall clock is read only once, to convert Unix time to the node's monotonic clock: a later step then moves no
-start time.
+recognised by a change of the reported start time, never by comparison with the wall clock. The wall clock is
+read only once, to convert Unix time to the node's monotonic clock, so that later steps don't move any start
+time.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 from workspond.clock import now_ms
 from workspond.discovery.endpoint_list import EndpointList
 
-# How many removed servers are remembered: one that returns with the same start time has not been restarted.
+# How many removed servers are remembered. A server that returns with the same start time has not been
+# restarted.
 MAX_REMOVED_SERVERS = 4096
 
 
@@ -26,8 +27,8 @@
     """One run of a server's process.
 
     Attributes:
-        reported_start_ms: The start as discovery reports it: Unix time in ms, 0 or less for long ago.
-        started_at_ms: The start on the node's clock; None for long ago.
+        reported_start_ms: The start as reported by discovery, in Unix time in ms; 0 or less if long ago.
+        started_at_ms: The start on the node's clock, in ms; None if long ago.
     """
 
     reported_start_ms: float
@@ -35,15 +36,15 @@
 
 
 class IncarnationTracker:
-    """The incarnations of all servers in the list, and of some that were removed."""
+    """Tracks the incarnations of all listed servers and of some removed ones."""
 
     def __init__(self) -> None:
         self._unix_to_node_clock_ms = now_ms() - time.time() * 1000.0
         self._listed: dict[int, Incarnation] = {}
-        self._removed: dict[int, Incarnation] = {}  # in the order of their removal
+        self._removed: dict[int, Incarnation] = {}  # in order of removal
 
     def assign_start_times(self, endpoints: EndpointList, received_at_ms: float) -> None:
-        """Set `started_at_ms` of all entries of a list.
+        """Set `started_at_ms` of all entries in a list.
 
         Args:
             endpoints: The list.
@@ -64,10 +65,11 @@
     def _start_on_node_clock(
         self, reported_start_ms: float, previous_response_at_ms: float, received_at_ms: float
     ) -> float | None:
-        """Convert a start that was not reported before to the node's clock; None for long ago.
+        """Convert a newly reported start to the node's clock; return None if it was long ago.
 
-        It cannot lie after the list that reports it was received. It is taken to lie after the answer before,
-        which did not report it. This bounds the error of a wall clock that was wrong from the first.
+        The start can't be later than the list that reports it. It is assumed to be no earlier than the
+        previous response, which did not report it. This limits the error if the wall clock was wrong when it
+        was read.
         """
         if reported_start_ms <= 0:
             return None
@@ -75,7 +77,7 @@
         return min(max(started_at_ms, previous_response_at_ms), received_at_ms)
 
     def forget(self, server_id: int) -> None:
-        """Remove a server from the list; its incarnation is remembered in case that it returns."""
+        """Handle the removal of a server, whose incarnation is remembered in case it returns."""
         incarnation = self._listed.pop(server_id, None)
         if incarnation is None:
             return
--- a/workspond/discovery/superseded_calls.py
+++ b/workspond/discovery/superseded_calls.py
@@ -1,4 +1,4 @@
-"""Calls to discovery that a newer call has superseded, and that may still be answered."""
+"""Discovery calls that a newer call has superseded but that may still be answered."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from workspond.address import Address
 from workspond.discovery.agent_client import AgentClient
 
-MAX_SUPERSEDED_CALLS = 4  # that may still be answered, each on a connection of its own
-MAX_SUPERSEDED_S = 5.0  # how long a call may still be answered after it was superseded
+MAX_SUPERSEDED_CALLS = 4  # each uses a connection
+MAX_SUPERSEDED_S = 5.0  # a superseded call is closed after this time
 
 
 class SupersededCalls:
-    """The clients of superseded calls, each closed when its time is over."""
+    """The clients of superseded calls. Each is closed after `MAX_SUPERSEDED_S`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._clients: list[AgentClient] = []  # the oldest first
+        self._clients: list[AgentClient] = []  # oldest first
 
     def add(self, client: AgentClient) -> None:
-        """Let the call of this client go on for a while."""
+        """Keep a client whose call may still be answered."""
         if len(self._clients) >= MAX_SUPERSEDED_CALLS:
-            # The newest makes way, because the oldest is the next to be answered.
+            # The newest one is closed, because the oldest one is the most likely to be answered next.
             self._clients.pop().close()
         self._clients.append(client)
         self._loop.call_later(MAX_SUPERSEDED_S, self.close, client)
 
     def remove(self, client: AgentClient) -> None:
-        """Remove a client and leave its call and its connection open.
+        """Remove a client without closing its call and its connection.
 
         Raises:
-            ValueError: If the client is not one of these.
+            ValueError: If the client's call is not among the superseded ones.
         """
         self._clients.remove(client)
 
     def reclaim(self, address: Address) -> AgentClient | None:
-        """Remove and return the oldest client of this address whose call is not overdue, if there is one."""
+        """Remove and return the oldest client for an address whose call is not overdue, or None."""
         for client in self._clients:
             if client.address == address and not client.is_overdue:
                 self._clients.remove(client)
@@ -43,13 +43,13 @@
         return None
 
     def close(self, client: AgentClient) -> None:
-        """Close a client; does nothing if it is none of these any more."""
+        """Close and remove a client; do nothing if it has been removed before."""
         if client in self._clients:
             self._clients.remove(client)
             client.close()
 
     def close_watches(self) -> None:
-        """Close the clients whose calls wait for changes to a list that they hold."""
+        """Close the clients whose calls are watches, that is, wait for changes to a list."""
         for client in list(self._clients):
             if not client.needs_complete_list:
                 self.close(client)
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -1,14 +1,14 @@
 """Keeps the endpoint list up to date by calls to the discovery agent.
 
-There are two kinds of call. A poll asks for the complete list and is answered at once. A watch names the
-version of the list that the node holds; the agent answers it when something changes, or when the watch ends.
+There are two kinds of calls. A poll requests the complete list and is answered at once. A watch states the
+version of the list that the node has; the agent answers when the list changes or when the watch times out.
 
-Only one call at a time is current. A newer call supersedes it when a reload names another agent, or when its
-answer does not begin in time. The superseded call stays open beside the newer one, and its answer still
-counts until the newer one is answered. Otherwise reloads in quick succession, or an agent that is slow to
-answer, could keep updates from the node for ever.
+Only one call is current at a time. It is superseded by a newer call when a reload names another agent, or
+when its response does not begin in time. The superseded call stays open, and its response is still used if it
+arrives before the newer call is answered. Otherwise, reloads in quick succession or an agent that answers
+slowly could keep the node from ever receiving updates.
 
-When the current call fails, the listener is notified and decides when to make the next one.
+When the current call fails, the listener is notified and decides when to make the next call.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 ENDPOINTS_PATH = "/api/targets"
 
-# How long the agent may hold a watch open while nothing changes. An agent that has fallen silent is noticed
-# only after this time: with 20 s all nodes used the list of their start through a whole release. To renew a
-# watch does not count as a new call, so short watches cost discovery next to nothing.
+# How long the agent may hold a watch open while nothing changes. An agent that has stopped responding is
+# detected only after this time: with 20 s, all nodes kept using the list from their start during a whole
+# release. Renewing a watch does not count as a new call, so short watches cost discovery almost nothing.
 WATCH_MS = 800
-# How long after the end of a watch its answer may begin at the latest.
+# How long after the end of a watch its response may begin.
 WATCH_GRACE_MS = 500
-# How long the answer to a poll may take to begin. The agent answers polls at once. The list of a new agent
-# counts as received 4 s after SIGHUP, so a poll that stays without an answer must leave time for another one.
+# How long the response to a poll may take to begin. The agent answers polls at once. The node must have the
+# list of a new agent within 4 s after SIGHUP, so a poll that is not answered must leave time for another one.
 POLL_TIMEOUT_MS = 1_000
-# How many calls in a row may fail, each in the way that takes longest, before an update comes too late: it
-# counts as received 6 s after discovery had it and could be reached, whatever became of the calls.
+# How many calls in a row may fail, each in the slowest way, without making an update late. An update must be
+# received within 6 s after it is available from a reachable agent, even if calls fail.
 MAX_CONSECUTIVE_FAILURES = 3
 
 
@@ -45,8 +45,8 @@
     """Return the longest time until an update arrives if `MAX_CONSECUTIVE_FAILURES` calls fail first, in ms.
 
     The timeout of a call includes the time to connect. The call that succeeds is answered as soon as it is
-    connected. An answer that stops halfway fails no later than one that has not begun, counted from the
-    moment when there was an update to send.
+    connected. A response that stalls halfway fails no later than one that never begins, counted from the time
+    when the update became available.
 
     Args:
         retry_wait_ms: The longest wait between a failed call and the next one, in ms.
@@ -56,17 +56,17 @@
 
 
 class UnusableResponseError(Exception):
-    """An answer of the agent that holds no endpoint list."""
+    """The agent's response contains no endpoint list."""
 
 
 class EndpointListener(Protocol):
     """Receives the endpoint list and its updates."""
 
     def endpoints_received(self, endpoints: EndpointList) -> None:
-        """Take a complete list or the changes to the last one; they come in order."""
+        """Apply a complete list or the changes to the previous one; they are passed in order."""
 
-    def watch_failed(self, reason: str) -> None:
-        """Handle a failed call; `EndpointWatcher.subscribe` makes the next one."""
+    def discovery_call_failed(self, reason: str) -> None:
+        """Handle a failed call, and later call `EndpointWatcher.subscribe` to make the next one."""
 
 
 class EndpointWatcher:
@@ -76,9 +76,9 @@
         self._loop = loop
         self._listener = listener
         self._reader = EndpointListReader()
-        self._client = AgentClient(loop, address, self)  # of the current call
+        self._client = AgentClient(loop, address, self)  # makes the current call
         self._superseded = SupersededCalls(loop)
-        self._last_response_at_ms = -math.inf  # the last answer that could be used
+        self._last_response_at_ms = -math.inf  # time of the last usable response
         self._closed = False
 
     def subscribe(self) -> None:
@@ -89,8 +89,8 @@
     def change_address(self, address: Address) -> None:
         """Call the agent at this address from now on.
 
-        The first call to another agent is for the complete list, since the versions of two agents need not
-        agree. The call to the former agent is superseded.
+        The first call to another agent requests the complete list, because the agents may number versions
+        differently. The call to the previous agent is superseded.
         """
         if self._closed:
             return
@@ -99,7 +99,7 @@
             return
         self._supersede_current()
         reclaimed = self._superseded.reclaim(address)
-        if reclaimed is not None:  # its call is still in flight
+        if reclaimed is not None:  # the call of this client is still in flight
             self._client = reclaimed
             return
         self._client = AgentClient(self._loop, address, self)
@@ -112,10 +112,10 @@
         self._superseded.close_all()
 
     def response_received(self, client: AgentClient, status: int, body: bytes) -> None:
-        """Take the answer to a call.
+        """Handle the response to a call.
 
-        The next call is made before the list is passed on: the agent takes a watch for renewed only if the
-        next call comes within 200 ms.
+        The next call is made before the list is passed on, because the agent counts a watch as renewed only
+        if the next call arrives within 200 ms.
         """
         try:
             endpoints = self._read_response(status, body)
@@ -139,21 +139,21 @@
             self._listener.endpoints_received(endpoints)
 
     def call_failed(self, client: AgentClient, reason: str) -> None:
-        """Handle a failed call; if it is the current one, the listener says when to make the next."""
+        """Handle a failed call; after the current one, the listener decides when to make the next."""
         if client is self._client:
-            self._listener.watch_failed(reason)
+            self._listener.discovery_call_failed(reason)
         else:
             self._superseded.close(client)
 
     def call_overdue(self, client: AgentClient) -> None:
-        """Supersede a call whose answer has not begun in time; the listener says when to make the next."""
+        """Supersede a call whose response has not begun in time, and notify the listener."""
         if client is not self._client:
             return
         self._supersede_current()
         self._client = AgentClient(self._loop, client.address, self)
         self._client.last_index = client.last_index
         self._client.needs_complete_list = client.needs_complete_list
-        self._listener.watch_failed("no answer in time")
+        self._listener.discovery_call_failed("no answer in time")
 
     def _make_call(self) -> None:
         """Make a poll or a watch on the current client."""
@@ -165,10 +165,10 @@
             client.call(target, (WATCH_MS + WATCH_GRACE_MS) / 1000.0)
 
     def _read_response(self, status: int, body: bytes) -> EndpointList:
-        """Read an answer.
+        """Read the endpoint list of a response.
 
         Raises:
-            UnusableResponseError: If it is not an endpoint list.
+            UnusableResponseError: If the response contains no endpoint list.
         """
         if status != HTTPStatus.OK:
             raise UnusableResponseError(f"status {status}")
@@ -178,31 +178,31 @@
             raise UnusableResponseError(f"a list that can't be read: {error!s:.100}") from error
 
     def _record_response(self, client: AgentClient, endpoints: EndpointList) -> None:
-        """Note the version that the client has, and when the answer came and the one before it."""
+        """Record the version of a list, and when it and the previous response were received."""
         client.last_index = endpoints.index
         client.needs_complete_list = False
         endpoints.previous_response_at_ms = self._last_response_at_ms
         self._last_response_at_ms = now_ms()
 
     def _continue_after(self, client: AgentClient) -> None:
-        """Make the next call after the current one was answered, or close a superseded one."""
+        """Make the next call if the current call was answered; close the client of a superseded call."""
         if client is self._client:
             self._make_call()
         else:
             self._superseded.close(client)
 
     def _supersede_current(self) -> None:
-        """Let the current call go on for a while, if there is one, beside the one that is made next."""
+        """Keep the current call open, if there is one, while a newer one is made."""
         if self._client.is_busy:
             self._superseded.add(self._client)
         else:
             self._client.close()
 
     def _make_current(self, client: AgentClient) -> None:
-        """Let the answered client take the place of the one that superseded it.
+        """Replace the current client by a superseded one whose call has been answered.
 
-        Nothing is lost with that one: the next call names the version that this one holds, so the agent sends
-        all that is newer.
+        No update is lost: the next call states the version of the answered call, so the agent sends all newer
+        changes.
         """
         if client is not self._client:
             self._client.close()
@@ -210,19 +210,19 @@
             self._client = client
 
     def _restart_from_complete_list(self) -> None:
-        """Have the current call followed by a poll, and end the other watches.
+        """Poll after the current call, and close the superseded watches.
 
-        Another agent's list has just replaced the one that they would report changes to.
+        A complete list of another agent has just replaced the list whose changes they would report.
         """
         self._client.needs_complete_list = True
         self._superseded.close_watches()
 
 
 def _has_content(endpoints: EndpointList) -> bool:
-    """Whether the answer tells anything; a watch that ends without a change does not."""
+    """Return whether a response contains anything new; a watch that ends without a change does not."""
     return endpoints.complete or bool(endpoints.endpoints)
 
 
 def _lacks_base_list(client: AgentClient, endpoints: EndpointList) -> bool:
-    """Whether these are changes to a list that the client does not hold, or holds in a later version."""
+    """Return whether a response contains changes to a list that the client does not have, or has newer."""
     return not endpoints.complete and (client.needs_complete_list or endpoints.index < client.last_index)
--- a/workspond/endpoint_table.py
+++ b/workspond/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints as discovery last listed them: their addresses, incarnations, and which are in service."""
+"""The current endpoints: their addresses, their incarnations, and which of them are in service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class TableChange:
-    """What an endpoint list has changed.
+    """The changes that an endpoint list has made to the table.
 
     Attributes:
         update: The event for the policy.
@@ -26,11 +26,11 @@
 
 
 class EndpointTable:
-    """Keeps the listed endpoints by server id.
+    """Holds the listed endpoints by server id.
 
     Attributes:
         addresses: The addresses of all servers that are listed.
-        in_service: Those of them that new attempts may go to.
+        in_service: The servers that new attempts may be sent to.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         self._incarnations = IncarnationTracker()
 
     def apply(self, endpoints: EndpointList, kind: UpdateKind) -> TableChange:
-        """Take a list as it came from discovery or from the cache."""
+        """Apply a list that was received from discovery or read from the cache."""
         self._incarnations.assign_start_times(endpoints, now_ms())
         missing_ids = [] if kind is UpdateKind.INCREMENTAL else self._missing_from(endpoints)
         removed_ids = list(missing_ids)
@@ -73,8 +73,8 @@
 def _policy_update(endpoints: EndpointList, kind: UpdateKind, missing_ids: list[int]) -> EndpointUpdate:
     """Return the policy's event for a list.
 
-    A complete list that leaves out its unchanged entries becomes an incremental update: the policy is told
-    what has changed.
+    A complete list without its unchanged entries becomes an incremental update with the entries that were
+    changed or removed.
     """
     if not endpoints.unchanged_ids:
         return EndpointUpdate(kind, endpoints.index, endpoints.endpoints)
--- a/workspond/event_loop_lag.py
+++ b/workspond/event_loop_lag.py
@@ -1,4 +1,4 @@
-"""Watches for lag of the event loop: a process that gets too little CPU shows it here first."""
+"""Logs lag of the event loop, the first sign of a process that gets too little CPU time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def watch_event_loop_lag(loop: asyncio.AbstractEventLoop) -> None:
-    """Write a line to the log, from now on, whenever the event loop runs a timer late."""
+    """Start to check the event loop's lag periodically; a timer that runs late is logged."""
     _check(loop, loop.time())
 
 
--- a/workspond/json_fields.py
+++ b/workspond/json_fields.py
@@ -17,7 +17,8 @@
     dict: "an object",
     list: "an array",
 }
-# Limit of integers: Python reads any number of digits, but arithmetic with a float fails for a huge one.
+# JSON integers may have any size in Python, but arithmetic between a huge one and a float raises
+# OverflowError.
 MAX_INTEGER = 2**128
 
 
@@ -26,7 +27,7 @@
 
 
 def get(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
-    """Return the value of a key.
+    """Return the value of a required key.
 
     Args:
         obj: The object.
@@ -34,7 +35,7 @@
         kind: The type of the value, one of those in `TYPE_NAMES`.
 
     Raises:
-        MalformedInputError: The key is missing, or its value has another type, is not finite or too large.
+        MalformedInputError: The key is missing, or its value has another type, is not finite or is too large.
     """
     try:
         value = obj[key]
@@ -45,7 +46,9 @@
     if isinstance(value, float) and not math.isfinite(value):
         raise MalformedInputError(f"{key!r} must be a finite number, not {value!r}")
     if isinstance(value, int) and abs(value) > MAX_INTEGER:
-        raise MalformedInputError(f"{key!r} is too large: {value!r:.60}")
+        raise MalformedInputError(
+            f"{key!r} is too large: must be at most 2**128 in absolute value, is {value!r:.60}"
+        )
     return value
 
 
@@ -59,12 +62,12 @@
 
 
 def choice(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
-    """Return what the value of a key stands for.
+    """Return the Python value that the value of a key stands for.
 
     Args:
         obj: The object.
         key: The key.
-        choices: The allowed values, and what they stand for.
+        choices: The allowed values, each with the value that it stands for.
         kind: The type of the value, one of those in `TYPE_NAMES`.
 
     Raises:
@@ -72,14 +75,12 @@
     """
     value = get(obj, key, kind)
     if value not in choices:
-        raise MalformedInputError(
-            f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, choices))}"
-        )
+        raise MalformedInputError(f"{key!r} must be one of {', '.join(map(str, choices))}, not {value!r:.60}")
     return choices[value]
 
 
 def objects(obj: Json, key: str) -> list[Json]:
-    """Return the value of a key that holds an array of objects.
+    """Return the value of a required key that holds an array of objects.
 
     Raises:
         MalformedInputError: The key is missing, or its value is not an array of objects.
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -9,13 +9,17 @@
 from workspond.active_request import ActiveRequest
 from workspond.attempt_runner import AttemptRunner
 from workspond.config import Config
-from workspond.descriptor_limits import available_descriptors, max_client_connections, usable_descriptors
+from workspond.descriptor_limits import (
+    available_descriptors,
+    effective_descriptor_limit,
+    max_client_connections,
+)
 from workspond.discovery.endpoint_list import EndpointList
 from workspond.discovery.watcher import EndpointWatcher
 from workspond.downstream.client_connection import ResponseReceiver
 from workspond.downstream.frontend import Frontend
 from workspond.endpoint_table import EndpointTable
-from workspond.graceful_shutdown import ACCEPT_S, GracefulShutdown
+from workspond.graceful_shutdown import MIN_SERVING_S, GracefulShutdown
 from workspond.http.request import ClientRequest
 from workspond.http.response import Response
 from workspond.observability.counters import CountedEvent, EventCounters
@@ -38,8 +42,8 @@
 from workspond.upstream.connection_pool import ConnectionPool
 from workspond.upstream.send_guard import SendGuard
 
-# After a failure of the agent, where lists come without a subscription: when the agent returns, the time
-# within which the node has to know all that the agent has begins at once.
+# Delay between a failed discovery call and the next one, where the policy does not decide when to subscribe.
+# The time limit for receiving updates starts as soon as the agent is reachable again, so the delay is short.
 RESUBSCRIBE_DELAY_S = 0.1
 
 log = logging.getLogger("workspond")
@@ -52,15 +56,15 @@
     (`EndpointListener`) and the actions of the policy (`ActionExecutor`).
 
     Attributes:
-        counters: Counts of what happened, for the log.
-        frontend: The clients' side.
+        counters: Event counts that are written to the log.
+        frontend: The listener and the connections of clients.
     """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         settings = config.settings
         self._config = config
         self._loop = loop
-        self._descriptors = usable_descriptors(config.max_descriptors)
+        self._descriptor_limit = effective_descriptor_limit(config.max_descriptors)
         self._balancer = Balancer(settings, config.seed)
         self._policy = PolicyRunner(self._balancer, self)
         self.counters = EventCounters()
@@ -78,21 +82,27 @@
             counters=self.counters,
         )
         self._discovery = EndpointWatcher(loop, config.discovery, self)
-        self._discovery_answered = False  # or its first call has failed
+        self._first_discovery_call_ended = False
         self.frontend = Frontend(
-            self._balancer.classes, self, max_client_connections(self._descriptors), self.counters
+            self._balancer.classes, self, max_client_connections(self._descriptor_limit), self.counters
         )
         self._shutdown = GracefulShutdown(self.frontend, self._requests, settings.classes)
 
     def start(self) -> None:
-        """Start the policy and call discovery: the node is ready once that call has ended."""
+        """Start the policy and call discovery.
+
+        The node becomes ready when the first call has ended and a server is in service.
+        """
         self.counters.start_periodic_report(self._loop)
         self._policy.handle(NodeStarted())
         if not self._config.settings.requires_subscription:
             self._discovery.subscribe()
 
     def reconfigure(self, config: Config) -> None:
-        """Take the discovery address of a new configuration, and nothing else; all requests go on."""
+        """Apply the discovery address of a new configuration without disturbing any request.
+
+        All other settings need a restart. If one of them has changed, a warning is logged.
+        """
         expected = dataclasses.replace(
             config,
             discovery=self._config.discovery,
@@ -104,45 +114,45 @@
         self._config = dataclasses.replace(self._config, discovery=config.discovery)
         self._discovery.change_address(config.discovery)
 
-    async def stop(self, accept_s: float = ACCEPT_S) -> None:
-        """Shut down gracefully: serve on for `accept_s` at least, answer all requests, and close."""
-        await self._shutdown.run(accept_s)
+    async def stop(self, min_serving_s: float = MIN_SERVING_S) -> None:
+        """Shut down gracefully: keep serving for at least this time, answer all requests, and close."""
+        await self._shutdown.run(min_serving_s)
         self._discovery.close()
         self.counters.log_summary()
 
     def _available_descriptors(self) -> int:
         return available_descriptors(
-            self._descriptors, self.frontend.connection_count(), self._upstream.connection_count()
+            self._descriptor_limit, self.frontend.connection_count(), self._upstream.connection_count()
         )
 
-    # RequestHandler
+    # Methods of RequestHandler
 
     def is_ready(self) -> bool:
-        """Return whether there is a server to send requests to."""
+        """Return whether any server is in service."""
         return bool(self._endpoints.in_service)
 
     def accept(self, request: ClientRequest, receiver: ResponseReceiver) -> ActiveRequest:
-        """Accept a request; from now on its client is owed exactly one answer.
+        """Accept a request, which will get exactly one response.
 
         Raises:
-            InvalidRequestError: If a request with this id is open.
+            InvalidRequestError: If a request with the same id is active.
         """
         return self._requests.accept(request, receiver)
 
-    # EndpointListener
+    # Methods of EndpointListener
 
     def endpoints_received(self, endpoints: EndpointList) -> None:
-        """Take a list from discovery."""
-        self._discovery_answered = True
+        """Apply a complete list or an incremental update from discovery."""
+        self._first_discovery_call_ended = True
         kind = UpdateKind.COMPLETE if endpoints.complete else UpdateKind.INCREMENTAL
         self._update_endpoints(endpoints, kind)
 
-    def watch_failed(self, reason: str) -> None:
-        """Note that a call to discovery has failed, and have the next one made when it is due."""
-        if not self._discovery_answered:
-            self._discovery_answered = True
-            # The node counts as knowing from the process's first moment what the agent holds. So the list
-            # that it had last, perhaps long ago, is only for when there is no other.
+    def discovery_call_failed(self, reason: str) -> None:
+        """Count and log a failed discovery call, and schedule the next one."""
+        if not self._first_discovery_call_ended:
+            self._first_discovery_call_ended = True
+            # The node is expected to use the agent's list from its first moment, and the cached list may be
+            # far out of date. So the cached list is used only if the first call fails.
             self._update_endpoints(self._config.cached_endpoints, UpdateKind.CACHED)
         self.counters.increment(CountedEvent.DISCOVERY_FAILED, reason.partition(":")[0])
         log.info('discovery call failed: reason="%s"', reason)
@@ -157,7 +167,7 @@
             self._upstream.close_idle(server_id)
         self._policy.handle(change.update)
 
-    # ActionExecutor
+    # Methods of ActionExecutor
 
     def execute(self, action: PolicyAction) -> None:
         """Execute an action of the policy."""
@@ -181,5 +191,5 @@
                 log.info("%s", action.text)
 
     def _reject(self, action: RejectRequest) -> None:
-        retry_after_s = action.retry_after_ms / 1000.0 or None  # 0: the policy advises none
+        retry_after_s = action.retry_after_ms / 1000.0 or None  # 0 means no Retry-After
         self._requests.finish(action.request_id, Response(503, b"refused", retry_after_s=retry_after_s))
--- a/workspond/policy_runner.py
+++ b/workspond/policy_runner.py
@@ -1,6 +1,6 @@
-"""Feeds the load-balancing policy with events and has its actions executed.
+"""Passes events to the load-balancing policy and executes the actions that it returns.
 
-This is the only place that calls `Balancer.handle`, and it does so for one event at a time.
+Only this module calls `Balancer.handle`, and only for one event at a time.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class ActionExecutor(Protocol):
-    """Does what the policy decides."""
+    """Executes the actions of the policy."""
 
     def execute(self, action: PolicyAction) -> None:
-        """Execute one action; it may have `PolicyRunner.handle` called with further events."""
+        """Execute one action, which may call `PolicyRunner.handle` with further events."""
 
 
 class PolicyRunner:
-    """Gives the policy its events in order.
+    """Passes events to the policy in order.
 
-    An event that an action raises is queued: the policy gets it after all actions of the event before it
-    have been executed.
+    An event that is raised by an action is queued. The policy handles it after all actions of the current
+    event have been executed.
     """
 
     def __init__(self, balancer: Balancer, executor: ActionExecutor) -> None:
@@ -42,7 +42,7 @@
         return len(self._queue)
 
     def handle(self, event: PolicyEvent) -> None:
-        """Have the policy handle an event, at once or after the one that is being handled."""
+        """Handle an event now or, if another one is being handled, after that one."""
         self._queue.append(event)
         if self._is_running:
             return
@@ -57,5 +57,5 @@
         try:
             for action in self._balancer.handle(event, now_ms()):
                 self._executor.execute(action)
-        except Exception:  # a request that this leaves open is failed at its deadline
+        except Exception:  # requests that stay active because of this are failed at their deadlines
             log.exception("policy event failed: event=%s", type(event).__name__)
--- a/workspond/reload.py
+++ b/workspond/reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration again while the node runs, as SIGHUP asks for."""
+"""Reloads the configuration file of a running node on SIGHUP."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from workspond.config import Config, InvalidConfigError, UnreadableConfigError, read_config
 from workspond.node import Node
 
-# After SIGHUP the node has 4 s to know what discovery holds at a new address. A shortage of descriptors or
-# memory, for which the file can't be read, may last this long.
+# The file can't be read while the process is short of descriptors or memory. The retries end after 2.5 s,
+# because the node must have the endpoint list of a new discovery agent within 4 s after SIGHUP.
 RETRY_INTERVAL_S = 0.1
 MAX_RETRIES = 25
 
@@ -25,9 +25,10 @@
         self._path = path
 
     def reload(self, retries_left: int = MAX_RETRIES) -> None:
-        """Take the file as it is now.
+        """Read the file and apply its configuration.
 
-        An invalid configuration changes nothing. A file that can't be read is read again for a while.
+        An invalid configuration changes nothing. A file that can't be read is retried up to `retries_left`
+        times.
         """
         try:
             config = read_config(self._path)
--- a/workspond/request_registry.py
+++ b/workspond/request_registry.py
@@ -1,4 +1,7 @@
-"""The requests that are owed an answer: each gets exactly one, at the latest from a timer at its deadline."""
+"""Registry of the active requests.
+
+Each request gets exactly one response, at the latest when its deadline timer fires.
+"""
 
 from __future__ import annotations
 
@@ -17,23 +20,24 @@
 from workspond.policy.events import RequestAbandoned, RequestReceived
 from workspond.policy_runner import PolicyRunner
 
-# Of a request's budget: the budget ran before the request was read, and the answer takes its time.
+# Part of a request's budget that its attempts can't use. It covers the time before the node has read the
+# request and the time to send the response.
 DEADLINE_MARGIN_MS = 10.0
-# By how much a deadline timer that fired early is set beyond the deadline.
+# A deadline timer that fired early is set again for this long after the deadline.
 TIMER_SLACK_S = 0.001
 
 log = logging.getLogger("workspond")
 
 
 class RequestRegistry:
-    """Keeps the active requests from their acceptance to their answer.
+    """Holds each active request from its acceptance to its response.
 
-    Requests have keys of the node's own, a serial number, and the policy hears of these alone: an attempt may
-    outlast its request, and a client that used an id again would mix up the state of the two requests.
+    The policy identifies a request by a serial number that the node assigns, and not by the client's id. An
+    attempt may outlast its request, so a client that reuses an id would mix up the state of two requests.
 
     Attributes:
         active: The active requests by key.
-        open_request_ids: The clients' ids of these.
+        open_request_ids: The ids of the active requests that clients sent as X-Call-Id.
     """
 
     def __init__(
@@ -53,10 +57,10 @@
         self._latest_deadline_at_ms = math.inf
 
     def accept(self, message: ClientRequest, receiver: ResponseReceiver) -> ActiveRequest:
-        """Accept a request; from now on its client is owed exactly one answer.
+        """Accept a request, which will get exactly one response.
 
         Raises:
-            InvalidRequestError: If a request with this id is open.
+            InvalidRequestError: If a request with the same id is active.
         """
         if message.request_id in self.open_request_ids:
             raise InvalidRequestError("a request with this X-Call-Id is open")
@@ -78,7 +82,7 @@
         return request
 
     def finish(self, key: str, response: Response) -> None:
-        """Answer a request, unless it has been answered or abandoned."""
+        """Send the response to a request, unless the request has been answered or abandoned."""
         request = self.active.get(key)
         if request is None or not self._remove(request):
             return
@@ -88,7 +92,7 @@
         request.receiver.send_response(response)
 
     def abandon(self, request: ActiveRequest, reason: str = AbandonReason.CLIENT_DISCONNECTED) -> None:
-        """End a request that nobody waits for any more."""
+        """End a request without a response, because its client no longer waits for one."""
         if not self._remove(request):
             return
         self._counters.increment(CountedEvent.REQUEST_ABANDONED, reason)
@@ -96,7 +100,7 @@
         self._policy.handle(RequestAbandoned(request.key))
 
     def limit_deadlines(self, latest_at_ms: float) -> None:
-        """Have all requests answered by a moment, also those that are accepted later."""
+        """Limit the deadlines of all active and future requests to `latest_at_ms`."""
         self._latest_deadline_at_ms = latest_at_ms
         for request in self.active.values():
             if request.deadline_at_ms > latest_at_ms:
@@ -104,7 +108,7 @@
                 self._set_deadline_timer(request)
 
     def _remove(self, request: ActiveRequest) -> bool:
-        """Remove a request; True if it was active, so that the caller has its one answer to give."""
+        """Remove a request and return whether it was active; if it was, the caller has to end it."""
         if self.active.pop(request.key, None) is None:
             return False
         self.open_request_ids.discard(request.message.request_id)
@@ -113,23 +117,24 @@
         return True
 
     def _set_deadline_timer(self, request: ActiveRequest) -> None:
-        """Set the timer for the request's deadline as it is now."""
+        """Set the timer for the current deadline of a request, and cancel its previous timer."""
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
-        left_s = max(0.0, request.deadline_at_ms - now_ms()) / 1000.0
-        request.deadline_timer = self._loop.call_later(left_s, self._deadline_timer_fired, request)
+        remaining_s = max(0.0, request.deadline_at_ms - now_ms()) / 1000.0
+        request.deadline_timer = self._loop.call_later(remaining_s, self._deadline_timer_fired, request)
 
     def _deadline_timer_fired(self, request: ActiveRequest) -> None:
-        left_ms = request.deadline_at_ms - now_ms()
-        if left_ms > 0.0:  # the loop's clock may run ahead: failing early would break a promise
+        remaining_ms = request.deadline_at_ms - now_ms()
+        # The event loop's clock may run ahead of `now_ms`, and a request must not fail before its deadline.
+        if remaining_ms > 0.0:
             request.deadline_timer = self._loop.call_later(
-                left_ms / 1000.0 + TIMER_SLACK_S, self._deadline_timer_fired, request
+                remaining_ms / 1000.0 + TIMER_SLACK_S, self._deadline_timer_fired, request
             )
         else:
             self._fail_at_deadline(request)
 
     def _fail_at_deadline(self, request: ActiveRequest) -> None:
-        """Fail a request that the policy has not ended by its deadline, whatever the reason."""
+        """Answer a request with status 504 if it is still active at its deadline."""
         if not self._remove(request):
             return
         response = Response(504, b"no answer in time")
--- a/workspond/settings_reader.py
+++ b/workspond/settings_reader.py
@@ -1,7 +1,8 @@
 """Reads the settings of a deployment from JSON.
 
-The simulator and the configuration file of the real node hold the same object in different places. Its keys
-are those of the wire; docs/glossary.md lists where they differ from the names here.
+The simulator sends the settings object when it starts a node; the configuration file of a real node contains
+the same object. The keys are fixed by the simulator's wire format; docs/glossary.md lists where they differ
+from the names here.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
     "cell": DeduplicationScope.CELL,
 }
 DEFAULT_KEEPALIVE_MS = 30_000.0
-# The wire's keys of those fields that an error can name and that have another name here.
+# The wire key of each field that an error can name, where the key differs from the name of the field.
 WIRE_KEYS = {
     "deadline_ms": "give_up_ms",
     "deduplication_window_ms": "window_ms",
@@ -56,7 +57,7 @@
 
     Raises:
         MalformedInputError: A key is missing or has a value of the wrong type.
-        InvalidSettingError: A value is impossible. The error names the key of the wire.
+        InvalidSettingError: A value is impossible. The error names the key on the wire.
     """
     try:
         return _read_settings(env)
@@ -65,34 +66,34 @@
 
 
 def _wire_name(name: str) -> str:
-    """Replace the name of a field by its key on the wire; its class or tenant stays in front."""
+    """Replace the name of a field by its wire key, and keep the class or tenant in front of it."""
     owner, dot, field = name.rpartition(".")
     return f"{owner}{dot}{WIRE_KEYS.get(field, field)}"
 
 
 def _read_settings(env: Json) -> Settings:
-    # The order decides which one of several mistakes is reported.
-    classes = [_request_class(item) for item in objects(env, "classes")]
-    tenants = [_tenant(item) for item in objects(env, "tenants")] if env.get("tenants") else []
+    # The order of the reads decides which error is reported if there are several.
+    classes = [_read_request_class(item) for item in objects(env, "classes")]
+    tenants = [_read_tenant(item) for item in objects(env, "tenants")] if env.get("tenants") else []
     permissions = get(env, "permissions", dict)
     rules = get(env, "rules", dict)
     prices = optional(env, "prices", dict, {})
-    worst_class_weight = _worst_class_weight(env)
+    worst_class_weight = _read_worst_class_weight(env)
     return Settings(
         classes=classes,
         tenants=tenants,
         worst_class_weight=worst_class_weight,
-        **_deployment(env),
+        **_read_deployment(env),
         poll_interval_ms=get(rules, "ask_every_ms", NUMBER),
-        **_permissions(permissions),
+        **_read_permissions(permissions),
         tick_ms=optional(env, "quantum_ms", NUMBER, 0.0),
-        **_rules(rules),
+        **_read_rules(rules),
         cross_zone_price=optional(prices, "cross_zone", NUMBER, 0.0),
         handshake_price=optional(prices, "handshake", NUMBER, 0.0),
     )
 
 
-def _request_class(item: Json) -> RequestClass:
+def _read_request_class(item: Json) -> RequestClass:
     is_keyed = item.get("semantics") == "dedup"
     return RequestClass(
         name=get(item, "name", str),
@@ -108,7 +109,7 @@
     )
 
 
-def _tenant(item: Json) -> Tenant:
+def _read_tenant(item: Json) -> Tenant:
     return Tenant(
         name=get(item, "name", str),
         quota_fraction=optional(item, "fraction", NUMBER, 0.0),
@@ -116,14 +117,14 @@
     )
 
 
-def _worst_class_weight(env: Json) -> float:
-    """Return the weight of the worst-served class over that of all requests, from its part of the score."""
+def _read_worst_class_weight(env: Json) -> float:
+    """Convert the worst class's fraction of the score to its weight relative to that of all requests."""
     score_parts = optional(env, "score_parts", dict, {})
     fraction: float = optional(score_parts, "worst_class", NUMBER, 0.0)
     return fraction / (1.0 - fraction) if 0.0 <= fraction < 1.0 else 0.0
 
 
-def _deployment(env: Json) -> dict[str, Any]:
+def _read_deployment(env: Json) -> dict[str, Any]:
     """Read the fields of `Settings` that describe the replica and its place in the deployment."""
     return {
         "over_quota_fraction": optional(env, "over_share_worth", NUMBER, 1.0),
@@ -137,27 +138,27 @@
     }
 
 
-def _permissions(permissions: Json) -> dict[str, Any]:
-    """Read the fields of `Settings` that say what a replica may do."""
+def _read_permissions(permissions: Json) -> dict[str, Any]:
+    """Read the fields of `Settings` that limit what a replica may do."""
     return {
         "max_attempts": get(permissions, "max_attempts", int),
         "parallel_attempts": optional(permissions, "parallel_tries", bool, False),
         "can_cancel": optional(permissions, "may_cancel", bool, False),
-        "max_retry_after_ms": _max_retry_after_ms(permissions),
+        "max_retry_after_ms": _read_max_retry_after_ms(permissions),
         "connect_timeout_ms": get(permissions, "connect_timeout_ms", NUMBER),
         "keepalive_ms": optional(permissions, "keepalive_ms", NUMBER, DEFAULT_KEEPALIVE_MS),
     }
 
 
-def _max_retry_after_ms(permissions: Json) -> float:
+def _read_max_retry_after_ms(permissions: Json) -> float:
     if not optional(permissions, "retry_after", bool, False):
         return 0.0
     max_retry_after_ms: float = optional(permissions, "max_retry_after_ms", NUMBER, 0.0)
     return max_retry_after_ms
 
 
-def _rules(rules: Json) -> dict[str, Any]:
-    """Read the fields of `Settings` that the operating rules state."""
+def _read_rules(rules: Json) -> dict[str, Any]:
+    """Read the fields of `Settings` that come from the operating rules."""
     return {
         "answer_slack_ms": optional(rules, "answer_slack_ms", NUMBER, 0.0),
         "drain_grace_ms": get(rules, "stop_sending_within_ms", NUMBER),
--- a/workspond/simulator_adapter.py
+++ b/workspond/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Hosts one `Balancer` per simulated node and speaks the simulator's wire.
+"""Connects the policy to the simulator: runs one `Balancer` per simulated node.
 
-Each line on standard input is a JSON batch of events, each line on standard output the JSON reply with the
-actions. docs/glossary.md lists how the words of the wire are translated. Malformed input ends the process
-with one line on standard error and exit status 2.
+Each line on standard input is a JSON batch of events, and each line on standard output is the JSON reply with
+the actions. docs/glossary.md lists the names on the wire and the corresponding names in the code. Malformed
+input ends the process with one line on standard error and exit status 2.
 """
 
 from __future__ import annotations
@@ -62,9 +62,9 @@
     306: Outcome.CANCELLED,
     307: Outcome.NOT_SENT,
 }
-NO_TENANT = 0  # the owner of a request where there are no tenants
-# The node does not talk to its peers, and makes no health checks.
-IGNORED_KINDS = {"NeighbourSays", "StatusBack"}
+NO_TENANT = 0  # `owner` of a request if the deployment has no tenants
+# Messages from other nodes and results of health checks: the policy uses neither.
+IGNORED_EVENT_KINDS = {"NeighbourSays", "StatusBack"}
 
 
 def _read_endpoint(entry: Json) -> Endpoint:
@@ -102,7 +102,7 @@
 
 
 def _read_load_report(item: Json) -> dict[str, float] | None:
-    """Read a load report; absent values are left out, negative ones count as 0, as the reports are noisy."""
+    """Read a load report without its null values; noise can make a value negative, which counts as 0."""
     report = optional(item, "report", dict, None)
     if report is None:
         return None
@@ -139,9 +139,9 @@
     """How an action is written to the wire.
 
     Attributes:
-        kind: The word of the wire for the action.
-        fields: The keys of the wire, each with the attribute of the action that it holds.
-        constants: Keys that always hold the same value.
+        kind: The name of the action on the wire.
+        fields: The keys on the wire, each with the attribute of the action that is its value.
+        constants: The keys whose value is always the same.
     """
 
     kind: str
@@ -169,18 +169,18 @@
     return {"kind": action_format.kind, "node": node, **fields, **action_format.constants}
 
 
-class Host:
-    """All simulated nodes of one process. They are independent; only the pages of endpoints are shared."""
+class SimulatedNodes:
+    """The simulated nodes of one process. They are independent and share only the pages of endpoints."""
 
     def __init__(self) -> None:
-        self._balancers: dict[str, Balancer] = {}  # by the name of the node
-        self._pages: dict[int, list[Endpoint]] = {}  # lists of endpoints that updates refer to, by number
+        self._balancers: dict[str, Balancer] = {}  # by node name
+        self._pages: dict[int, list[Endpoint]] = {}  # endpoint lists by number; updates refer to them
 
-    def batch(self, message: Json) -> Json:
+    def handle_batch(self, message: Json) -> Json:
         """Handle one batch of events and return the reply.
 
         Raises:
-            MalformedInputError: The batch does not follow the wire.
+            MalformedInputError: The batch does not follow the wire format.
         """
         now_ms: float = get(message, "ts_ms", NUMBER)
         batch_number = get(message, "round", int)
@@ -206,7 +206,7 @@
         if kind == "PowerOff":
             del self._balancers[node]
             return []
-        if kind in IGNORED_KINDS:
+        if kind in IGNORED_EVENT_KINDS:
             return []
         return self._handle_event(node, self._read_event(kind, item, self._balancers[node]), now_ms)
 
@@ -231,9 +231,7 @@
             raise MalformedInputError("unknown kind of event")
         event = EVENT_READERS[kind](item)
         if isinstance(event, RequestReceived) and event.class_name not in balancer.classes:
-            raise MalformedInputError(
-                f"'type' is {event.class_name!r:.40}, which is no class of the settings"
-            )
+            raise MalformedInputError(f"'type' must be a class of the settings, not {event.class_name!r:.40}")
         return event
 
     def _read_endpoint_update(self, item: Json) -> EndpointUpdate:
@@ -242,12 +240,12 @@
             return EndpointUpdate(kind)
         page = get(item, "bank", int)
         if page not in self._pages:
-            raise MalformedInputError(f"'bank' {page} has had no Page")
+            raise MalformedInputError(f"'bank' must be the number of a page that was sent before, not {page}")
         return EndpointUpdate(kind, get(item, "stamp", int), self._pages[page])
 
 
 def _read_batch(source: TextIO) -> Json | None:
-    """Read one batch; None at the end of the input.
+    """Read one batch; return None at the end of the input.
 
     Raises:
         MalformedInputError: The line is not a JSON object.
@@ -268,18 +266,18 @@
     """Answer batches until the input ends, and return the exit status.
 
     Args:
-        source: Where batches are read from.
-        sink: Where replies are written to.
-        errors: Where the error is written to that ends the process.
+        source: The stream that batches are read from.
+        sink: The stream that replies are written to.
+        errors: The stream that an error is written to before the process ends.
     """
-    host = Host()
+    nodes = SimulatedNodes()
     line_number = 1
     while True:
         try:
             message = _read_batch(source)
             if message is None:
                 return 0
-            reply = host.batch(message)
+            reply = nodes.handle_batch(message)
         except MalformedInputError as error:
             print(f"workspond: input line {line_number}: {error}", file=errors)
             return 2
