--- a/workspond/config.py
+++ b/workspond/config.py
@@ -8,7 +8,7 @@
 
 from workspond.address import Address, parse_address
 from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list
-from workspond.json_fields import Json, MalformedInputError, get, optional
+from workspond.json_fields import Json, MalformedInputError, optional_field, required_field
 from workspond.policy.settings import Settings
 from workspond.settings_reader import read_settings
 
@@ -74,20 +74,20 @@
 
 
 def _read_fields(fields: Json) -> Config:
-    limits = optional(fields, "limits", dict, {})
+    limits = optional_field(fields, "limits", dict, {})
     return Config(
-        name=get(fields, "name", str),
-        listen=parse_address(get(fields, "listen", str)),
-        discovery=parse_address(get(fields, "discovery", str)),
+        name=required_field(fields, "name", str),
+        listen=parse_address(required_field(fields, "listen", str)),
+        discovery=parse_address(required_field(fields, "discovery", str)),
         seed=_read_seed(fields),
-        max_descriptors=optional(limits, "sockets", int, DEFAULT_MAX_DESCRIPTORS),
+        max_descriptors=optional_field(limits, "sockets", int, DEFAULT_MAX_DESCRIPTORS),
         cached_endpoints=_read_cached_endpoints(fields),
-        settings=read_settings(get(fields, "settings", dict)),
+        settings=read_settings(required_field(fields, "settings", dict)),
     )
 
 
 def _read_seed(fields: Json) -> int:
-    text = get(fields, "seed", str)
+    text = required_field(fields, "seed", str)
     if not HEX_DIGITS.fullmatch(text):
         raise MalformedInputError(f"'seed' must be hex digits, not {text!r:.60}")
     return int(text, 16)
@@ -95,4 +95,4 @@
 
 def _read_cached_endpoints(fields: Json) -> EndpointList:
     empty_list: Json = {"index": 0, "snapshot": True, "endpoints": []}
-    return read_endpoint_list(optional(fields, "known", dict, empty_list))
+    return read_endpoint_list(optional_field(fields, "known", dict, empty_list))
--- a/workspond/discovery/endpoint_list.py
+++ b/workspond/discovery/endpoint_list.py
@@ -8,7 +8,14 @@
 from dataclasses import dataclass
 
 from workspond.address import Address, parse_address
-from workspond.json_fields import NUMBER, Json, choice, get, objects, optional
+from workspond.json_fields import (
+    NUMBER,
+    Json,
+    choice_field,
+    object_list_field,
+    optional_field,
+    required_field,
+)
 from workspond.policy.endpoint import Endpoint, EndpointState
 
 STATE_BY_STATUS = {
@@ -62,14 +69,14 @@
     endpoints: list[Endpoint] = []
     addresses: dict[int, Address] = {}
     start_times_ms: dict[int, float] = {}
-    for entry in objects(document, "endpoints"):
-        server_id = server_id_from_name(get(entry, "name", str))
-        start_times_ms[server_id] = optional(entry, "since_ms", NUMBER, 0)
+    for entry in object_list_field(document, "endpoints"):
+        server_id = server_id_from_name(required_field(entry, "name", str))
+        start_times_ms[server_id] = optional_field(entry, "since_ms", NUMBER, 0)
         endpoints.append(_read_endpoint(server_id, entry))
-        addresses[server_id] = parse_address(get(entry, "address", str))
+        addresses[server_id] = parse_address(required_field(entry, "address", str))
     return EndpointList(
-        index=get(document, "index", int),
-        complete=get(document, "snapshot", bool),
+        index=required_field(document, "index", int),
+        complete=required_field(document, "snapshot", bool),
         endpoints=endpoints,
         addresses=addresses,
         start_times_ms=start_times_ms,
@@ -80,9 +87,9 @@
     """Read an entry without the start time, which `IncarnationTracker` sets later."""
     return Endpoint(
         server_id=server_id,
-        zone=optional(entry, "zone", str, ""),
-        machine_type=optional(entry, "type", str, ""),
-        cell=optional(entry, "group", int, 0),
-        state=choice(entry, "status", STATE_BY_STATUS),
-        weight=optional(entry, "weight", NUMBER, 1.0),
+        zone=optional_field(entry, "zone", str, ""),
+        machine_type=optional_field(entry, "type", str, ""),
+        cell=optional_field(entry, "group", int, 0),
+        state=choice_field(entry, "status", STATE_BY_STATUS),
+        weight=optional_field(entry, "weight", NUMBER, 1.0),
     )
--- a/workspond/json_fields.py
+++ b/workspond/json_fields.py
@@ -26,7 +26,7 @@
     """Input does not have the expected form."""
 
 
-def get(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
+def required_field(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
     """Return the value of a required key.
 
     Args:
@@ -52,16 +52,16 @@
     return value
 
 
-def optional(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
-    """Return the value of a key as `get` does, or the default if the key is missing or null.
+def optional_field(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
+    """Return the value of a key as `required_field` does, or the default if the key is missing or null.
 
     Raises:
-        MalformedInputError: The value is not as `get` expects it.
+        MalformedInputError: The value is not as `required_field` expects it.
     """
-    return default if obj.get(key) is None else get(obj, key, kind)
+    return default if obj.get(key) is None else required_field(obj, key, kind)
 
 
-def choice(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
+def choice_field(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
     """Return the Python value that the value of a key stands for.
 
     Args:
@@ -73,19 +73,19 @@
     Raises:
         MalformedInputError: The key is missing, or its value is not allowed.
     """
-    value = get(obj, key, kind)
+    value = required_field(obj, key, kind)
     if value not in choices:
         raise MalformedInputError(f"{key!r} must be one of {', '.join(map(str, choices))}, not {value!r:.60}")
     return choices[value]
 
 
-def objects(obj: Json, key: str) -> list[Json]:
+def object_list_field(obj: Json, key: str) -> list[Json]:
     """Return the value of a required key that holds an array of objects.
 
     Raises:
         MalformedInputError: The key is missing, or its value is not an array of objects.
     """
-    values: list[Json] = get(obj, key, list)
+    values: list[Json] = required_field(obj, key, list)
     for index, value in enumerate(values):
         if not isinstance(value, dict):
             raise MalformedInputError(f"{key}[{index}] must be an object, not {value!r:.60}")
--- a/workspond/simulator_adapter.py
+++ b/workspond/simulator_adapter.py
@@ -13,7 +13,15 @@
 from dataclasses import dataclass, field
 from typing import TextIO
 
-from workspond.json_fields import NUMBER, Json, MalformedInputError, choice, get, objects, optional
+from workspond.json_fields import (
+    NUMBER,
+    Json,
+    MalformedInputError,
+    choice_field,
+    object_list_field,
+    optional_field,
+    required_field,
+)
 from workspond.policy.actions import (
     CancelAttempt,
     CloseIdleConnections,
@@ -69,60 +77,64 @@
 
 def _read_endpoint(entry: Json) -> Endpoint:
     return Endpoint(
-        server_id=get(entry, "server", int),
-        zone=optional(entry, "failure_domain", str, ""),
-        machine_type=optional(entry, "sku", str, ""),
-        cell=optional(entry, "group", int, 0),
-        state=choice(entry, "health", ENDPOINT_STATES),
-        weight=optional(entry, "share", NUMBER, 1.0),
-        started_at_ms=optional(entry, "boot_time_ms", NUMBER, 0.0) or None,
+        server_id=required_field(entry, "server", int),
+        zone=optional_field(entry, "failure_domain", str, ""),
+        machine_type=optional_field(entry, "sku", str, ""),
+        cell=optional_field(entry, "group", int, 0),
+        state=choice_field(entry, "health", ENDPOINT_STATES),
+        weight=optional_field(entry, "share", NUMBER, 1.0),
+        started_at_ms=optional_field(entry, "boot_time_ms", NUMBER, 0.0) or None,
     )
 
 
 def _read_request(item: Json) -> RequestReceived:
     return RequestReceived(
-        request_id=get(item, "request_id", str),
-        class_name=get(item, "type", str),
-        ttl_ms=get(item, "ttl_ms", NUMBER),
-        tenant=None if item.get("owner") == NO_TENANT else optional(item, "owner", str, None),
-        is_client_retry=optional(item, "again_by_client", bool, False),
+        request_id=required_field(item, "request_id", str),
+        class_name=required_field(item, "type", str),
+        ttl_ms=required_field(item, "ttl_ms", NUMBER),
+        tenant=None if item.get("owner") == NO_TENANT else optional_field(item, "owner", str, None),
+        is_client_retry=optional_field(item, "again_by_client", bool, False),
     )
 
 
 def _read_attempt_ended(item: Json) -> AttemptEnded:
     return AttemptEnded(
-        request_id=get(item, "request_id", str),
-        attempt_number=get(item, "send_no", int),
-        server_id=get(item, "server", int),
-        outcome=choice(item, "disposition", OUTCOMES, int),
-        duration_ms=get(item, "duration_ms", NUMBER),
-        request_finished=get(item, "settled", bool),
+        request_id=required_field(item, "request_id", str),
+        attempt_number=required_field(item, "send_no", int),
+        server_id=required_field(item, "server", int),
+        outcome=choice_field(item, "disposition", OUTCOMES, int),
+        duration_ms=required_field(item, "duration_ms", NUMBER),
+        request_finished=required_field(item, "settled", bool),
         load_report=_read_load_report(item),
     )
 
 
 def _read_load_report(item: Json) -> dict[str, float] | None:
     """Read a load report without its null values; noise can make a value negative, which counts as 0."""
-    report = optional(item, "report", dict, None)
+    report = optional_field(item, "report", dict, None)
     if report is None:
         return None
-    return {name: max(0.0, get(report, name, NUMBER)) for name, value in report.items() if value is not None}
+    return {
+        name: max(0.0, required_field(report, name, NUMBER))
+        for name, value in report.items()
+        if value is not None
+    }
 
 
 def _read_stream_started(item: Json) -> StreamStarted:
     return StreamStarted(
-        request_id=get(item, "request_id", str),
-        attempt_number=get(item, "send_no", int),
-        server_id=get(item, "server", int),
+        request_id=required_field(item, "request_id", str),
+        attempt_number=required_field(item, "send_no", int),
+        server_id=required_field(item, "server", int),
     )
 
 
 def _read_timer_fired(item: Json) -> TimerFired:
-    return TimerFired(get(item, "nonce", int))
+    return TimerFired(required_field(item, "nonce", int))
 
 
 def _read_request_abandoned(item: Json) -> RequestAbandoned:
-    return RequestAbandoned(get(item, "request_id", str))
+    return RequestAbandoned(required_field(item, "request_id", str))
 
 
 EVENT_READERS: dict[str, Callable[[Json], PolicyEvent]] = {
@@ -182,10 +194,10 @@
         Raises:
             MalformedInputError: The batch does not follow the wire format.
         """
-        now_ms: float = get(message, "ts_ms", NUMBER)
-        batch_number = get(message, "round", int)
+        now_ms: float = required_field(message, "ts_ms", NUMBER)
+        batch_number = required_field(message, "round", int)
         actions: list[Json] = []
-        for index, item in enumerate(objects(message, "items")):
+        for index, item in enumerate(object_list_field(message, "items")):
             try:
                 actions += self._handle_item(item, now_ms)
             except MalformedInputError as error:
@@ -193,11 +205,11 @@
         return {"round": batch_number, "actions": actions}
 
     def _handle_item(self, item: Json, now_ms: float) -> list[Json]:
-        kind = get(item, "kind", str)
+        kind = required_field(item, "kind", str)
         if kind == "Page":
             self._read_page(item)
             return []
-        node = get(item, "node", str)
+        node = required_field(item, "node", str)
         if kind == "Launch":
             self._balancers[node] = self._launch(item)
             return self._handle_event(node, NodeStarted(), now_ms)
@@ -214,15 +226,15 @@
         return [_write_action(node, action) for action in self._balancers[node].handle(event, now_ms)]
 
     def _read_page(self, item: Json) -> None:
-        endpoints = [_read_endpoint(entry) for entry in objects(item, "elements")]
-        self._pages[get(item, "bank", int)] = endpoints
+        endpoints = [_read_endpoint(entry) for entry in object_list_field(item, "elements")]
+        self._pages[required_field(item, "bank", int)] = endpoints
 
     def _launch(self, item: Json) -> Balancer:
         try:
-            settings = read_settings(get(item, "env", dict))
+            settings = read_settings(required_field(item, "env", dict))
         except ValueError as error:
             raise MalformedInputError(f"'env' has impossible settings: {error}") from None
-        return Balancer(settings, get(item, "salt", int))
+        return Balancer(settings, required_field(item, "salt", int))
 
     def _read_event(self, kind: str, item: Json, balancer: Balancer) -> PolicyEvent:
         if kind == "View":
@@ -235,13 +247,13 @@
         return event
 
     def _read_endpoint_update(self, item: Json) -> EndpointUpdate:
-        kind = choice(item, "form", UPDATE_KINDS)
+        kind = choice_field(item, "form", UPDATE_KINDS)
         if kind is UpdateKind.FAILED:
             return EndpointUpdate(kind)
-        page = get(item, "bank", int)
+        page = required_field(item, "bank", int)
         if page not in self._pages:
             raise MalformedInputError(f"'bank' must be the number of a page that was sent before, not {page}")
-        return EndpointUpdate(kind, get(item, "stamp", int), self._pages[page])
+        return EndpointUpdate(kind, required_field(item, "stamp", int), self._pages[page])
 
 
 def _read_batch(source: TextIO) -> Json | None:
