--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""A node among stand-ins for tests over sockets, on 127.0.0.1."""
+"""Runs a node with scripted servers, clients and a discovery agent on 127.0.0.1, for tests."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     "until",
 ]
 
-WAIT_TIMEOUT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
+WAIT_TIMEOUT_S = 30.0  # long enough that a busy machine does not make a test fail
 POLL_INTERVAL_S = 0.005
 SEED = "8c1f30d27a5be964"
 
@@ -58,16 +58,16 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the event loop that the program uses."""
+    """Run a test on uvloop, the event loop of the program, with a time limit."""
 
-    async def limited() -> None:
+    async def run_with_timeout() -> None:
         await asyncio.wait_for(test, 2 * WAIT_TIMEOUT_S)
 
-    uvloop.run(limited())
+    uvloop.run(run_with_timeout())
 
 
 async def until(done: Callable[[], bool]) -> None:
-    """Wait until something holds; raises `TimeoutError` if it does not in `WAIT_TIMEOUT_S`."""
+    """Wait until `done` returns true; raises `TimeoutError` after `WAIT_TIMEOUT_S`."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while True:
             if done():
@@ -76,7 +76,7 @@
 
 
 class Server(ScriptedServer):
-    """A server whose default response is 200."""
+    """A scripted server whose default response has status 200."""
 
     def __init__(
         self, *script: bytes, default: bytes = DEFAULT_RESPONSE, name: str = "s", group: int = 0
@@ -85,10 +85,10 @@
 
 
 class Client(ClientConnection):
-    """A client's connection that renders its requests."""
+    """A client's connection, which renders the requests that it sends."""
 
     async def send_request(self, *args: Any, **kwargs: Any) -> Message:
-        """Send what `request` renders of the arguments and read the response."""
+        """Send a request, rendered from the arguments of `request`, and read the response."""
         return await self.send(request(*args, **kwargs))
 
 
@@ -101,7 +101,7 @@
     extra: str = "",
     query: str = "",
 ) -> bytes:
-    """A request as clients send it: the method follows from the class."""
+    """Render a request as clients send it; the class determines the method."""
     return render_request(
         request_id, cls, budget, body, host="api.internal", extra_headers=extra, query=query
     )
@@ -109,7 +109,7 @@
 
 @dataclass
 class NodeEnvironment:
-    """A node among its peers."""
+    """A node with its servers, its discovery agent and its clients."""
 
     config: dict[str, Any]
     path: Path
@@ -121,14 +121,14 @@
     processes: list[asyncio.subprocess.Process] = field(default_factory=list)
 
     async def start_node(self) -> None:
-        """Start a node in this process, by the configuration file as it is now."""
+        """Start a node in this process with the current configuration file."""
         loop = asyncio.get_running_loop()
         node = self.node = Node(read_config(str(self.path)), loop)
         self.address = await node.frontend.listen(loop, ("127.0.0.1", 0))
         node.start()
 
     async def client(self) -> Client:
-        """A new client's connection."""
+        """Open a connection of a new client to the node."""
         client = Client(*await asyncio.open_connection(*self.address), timeout_s=WAIT_TIMEOUT_S)
         self.clients.append(client)
         return client
@@ -137,11 +137,12 @@
         """Send a request on a new connection and read the response."""
         return await (await self.client()).send_request(*args, **kwargs)
 
-    async def end(self) -> None:
-        """End clients, processes, peers and the node, whatever the test has left of them."""
+    async def close(self) -> None:
+        """Close all clients and stop all processes, servers and nodes that are still running."""
         for client in self.clients:
             client.writer.close()
-        for process in self.processes:  # one left behind by a test that fails would call on others' ports
+        # A process left over from a failed test could call ports that later tests use.
+        for process in self.processes:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
@@ -152,10 +153,10 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """Start-up settings; a dictionary among the changes is merged into the part of that name."""
+    """Return the settings of a node; a dictionary among the changes is merged into the part of that name."""
     env: dict[str, Any] = json.loads(json.dumps(SETTINGS))
     env["permissions"]["connect_timeout_ms"] = 5000.0
-    env["rules"]["ask_every_ms"] = 200.0  # discovery is called soon after a failure
+    env["rules"]["ask_every_ms"] = 200.0  # the next discovery call follows a failed one soon
     env["tenants"] = []
     for cls in env["classes"]:
         cls |= {"objective_ms": 500.0, "give_up_ms": 20_000.0, "dedup_scope": "cell"}
@@ -169,26 +170,35 @@
 async def node_environment(
     path: Path, *servers: Server, start: bool = True, sockets: int = 1024, known: bool = True, **changes: Any
 ) -> AsyncIterator[NodeEnvironment]:
-    """A node with these servers, its discovery, and a configuration file."""
-    registry = ScriptedDiscoveryAgent()
-    for peer in (registry, *servers):
+    """Run a discovery agent, these servers and a node with its configuration file.
+
+    Args:
+        path: The folder of the configuration file.
+        servers: The servers that the discovery agent lists.
+        start: Whether to start a node in this process.
+        sockets: The limit on file descriptors in the configuration.
+        known: Whether the cached endpoint list of the configuration contains the servers.
+        changes: Changes to the settings, as for `settings`.
+    """
+    agent = ScriptedDiscoveryAgent()
+    for peer in (agent, *servers):
         await peer.start()
-    registry.endpoints = [server.entry() for server in servers]
+    agent.endpoints = [server.entry() for server in servers]
     config = node_config(
         "n0",
         listen="127.0.0.1:0",
-        discovery=registry.address,
+        discovery=agent.address,
         seed=SEED,
         limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets},
         settings=settings(**changes),
-        known=endpoint_list(1, registry.endpoints if known else [], complete=True),
+        known=endpoint_list(1, agent.endpoints if known else [], complete=True),
     )
     file = path / "config.json"
     file.write_text(json.dumps(config))
-    environment = NodeEnvironment(config, file, registry, list(servers))
+    environment = NodeEnvironment(config, file, agent, list(servers))
     if start:
         await environment.start_node()
     try:
         yield environment
     finally:
-        await environment.end()
+        await environment.close()
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""The program itself, run in a process of its own as it is in service."""
+"""Runs the program in a separate process, as in production."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.test_wire import ROOT
 from workspond.address import Address, parse_address
 
-CONNECT_POLL_S = 0.02
+CONNECT_INTERVAL_S = 0.02
 
 
 class Program:
@@ -24,22 +24,23 @@
 
     @classmethod
     async def start(cls, environment: NodeEnvironment, descriptors: int | None = None) -> Program:
-        """Start the program with the scene's configuration, and wait until it listens."""
+        """Start the program with the environment's configuration, and wait until it listens."""
         program = cls(await spawn(environment.path, descriptors), environment)
         environment.processes.append(program.process)
         environment.address = await read_listen_address(program.process)
         return program
 
-    async def refuses(self) -> None:
-        """Wait until the listener is closed."""
+    async def wait_until_refusing(self) -> None:
+        """Wait until the program refuses connections because its listener is closed."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 if not await can_connect(self.environment.address):
                     return
-                await asyncio.sleep(CONNECT_POLL_S)
+                await asyncio.sleep(CONNECT_INTERVAL_S)
 
 
 async def can_connect(address: Address) -> bool:
+    """Return whether a connection to an address is accepted, not refused."""
     try:
         _, writer = await asyncio.open_connection(*address)
     except ConnectionRefusedError:
@@ -49,7 +50,7 @@
 
 
 async def spawn(path: Path | None, descriptors: int | None = None) -> asyncio.subprocess.Process:
-    """Start the program, under a limit of so many file descriptors if one is given."""
+    """Start the program, with a limit on its file descriptors if one is given."""
 
     def limit_descriptors() -> None:
         if descriptors is not None:
@@ -70,10 +71,10 @@
 
 
 async def read_listen_address(process: asyncio.subprocess.Process) -> Address:
-    """Read the program's log up to the line of its start; returns the address that it listens on."""
+    """Read the program's log up to the line "started", and return the address that it listens on."""
     assert process.stderr is not None
     while True:
         line = await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)
-        assert line, "ended before it was ready"
+        assert line, "the program ended before it listened"
         if b"started" in line:
             return parse_address(line.decode().rpartition("listen=")[2].strip())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node among scripted peers: rules, connections, and ends that must come."""
+"""Tests of a node with scripted servers: retries, drains, connections, timeouts and deadlines."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return [request_class | changes for request_class in settings()["classes"]]
 
 
-def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
+def test_a_keyed_request_that_may_have_run_is_retried_only_within_its_group(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [Server(default=render_response(500), name=f"s{n}", group=n % 2) for n in range(4)]
         async with node_environment(tmp_path, *servers) as environment:
@@ -29,15 +29,15 @@
             assert {response.status for response in responses} == {502}
         groups: dict[str, list[int]] = {}
         for server in servers:
-            for seen in server.received:
-                groups.setdefault(seen.request_id, []).append(server.group)
-        assert all(len(set(sent)) == 1 for sent in groups.values())
-        assert max(map(len, groups.values())) > 1  # and some were sent again
+            for received in server.received:
+                groups.setdefault(received.request_id, []).append(server.group)
+        assert all(len(set(attempted)) == 1 for attempted in groups.values())
+        assert max(map(len, groups.values())) > 1  # some were retried
 
     run(test())
 
 
-def test_a_keyed_request_is_not_sent_again_once_its_window_is_over(tmp_path: Path) -> None:
+def test_a_keyed_request_is_not_retried_after_its_deduplication_window(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(default=render_response(500))
         async with node_environment(tmp_path, server, classes=classes_with(window_ms=20.0)) as environment:
@@ -47,7 +47,7 @@
     run(test())
 
 
-def test_nothing_goes_to_a_server_that_drains_or_is_gone(tmp_path: Path) -> None:
+def test_draining_and_removed_servers_receive_no_requests(tmp_path: Path) -> None:
     async def test() -> None:
         draining, removed, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
         async with node_environment(tmp_path, draining, removed, stays) as environment:
@@ -56,8 +56,8 @@
             assert draining.received and removed.received
             environment.agent.publish(draining.entry(status="leaving"), removed.entry(status="left"))
             await until(lambda: len(environment.agent.received) == 2)
-            # The next watch has begun, so the update has been read.
-            # Idle connections to the removed server are closed.
+            # The next watch has begun, so the node has applied the update. It closes its idle connections to
+            # the removed server.
             await until(lambda: removed.closed_connections == removed.accepted_connections)
             counts = len(draining.received), len(removed.received)
             for n in range(6):
@@ -67,8 +67,8 @@
     run(test())
 
 
-def test_a_drain_told_while_the_connection_comes_up_stops_the_send(tmp_path: Path) -> None:
-    """The selection was right, but its server drains by the time there is a connection."""
+def test_an_attempt_is_not_sent_if_its_server_drains_while_the_node_connects(tmp_path: Path) -> None:
+    """The server is in service when it is selected, and draining when the connection is open."""
 
     async def test() -> None:
         stays = Server(name="stays")
@@ -93,7 +93,7 @@
     run(test())
 
 
-def test_a_stale_connection_is_replaced_and_nothing_is_sent_twice(tmp_path: Path) -> None:
+def test_closed_idle_connections_are_replaced_and_no_request_is_sent_twice(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(*[render_response() + CLOSE] * 3)
         async with node_environment(tmp_path, server) as environment:
@@ -105,35 +105,34 @@
     run(test())
 
 
-def test_a_connection_that_falls_silent_does_not_keep_its_server_from_work(tmp_path: Path) -> None:
-    """One request on a dead connection, and a sound server got next to no others."""
+def test_a_server_with_one_hanging_connection_still_receives_requests(tmp_path: Path) -> None:
+    """After one request hung on a dead connection, its healthy server received almost no other requests."""
 
     async def test() -> None:
-        servers = [Server(name="s0"), half_dead := Server(name="s1")]
+        servers = [Server(name="s0"), hanging := Server(name="s1")]
         for server in servers:
             server.response_delay_s = 0.02
         async with node_environment(tmp_path, *servers) as environment:
             for n in range(4):
                 await environment.send_request(f"first-{n}")
-            half_dead.remaining_script.append(HANG)
-            requests = [asyncio.create_task(environment.send_request(f"at-once-{n}")) for n in range(4)]
+            hanging.remaining_script.append(HANG)
+            requests = [asyncio.create_task(environment.send_request(f"concurrent-{n}")) for n in range(4)]
             await until(lambda: sum(task.done() for task in requests) == 3)
-            await asyncio.sleep(0.2)  # ten times the usual delay: the request that hangs is long overdue
-            count_before = len(half_dead.received)
+            await asyncio.sleep(0.2)  # ten times the usual response time
+            count_before = len(hanging.received)
             for n in range(10):
                 await environment.send_request(f"later-{n}")
-            assert len(half_dead.received) - count_before >= 3
-            assert (
-                environment.node is not None and environment.node._balancer.in_flight == 1
-            )  # it still hangs
-            half_dead.close_connections()  # the request is retried elsewhere, or failed
+            assert len(hanging.received) - count_before >= 3
+            # One request still hangs.
+            assert environment.node is not None and environment.node._balancer.in_flight == 1
+            hanging.close_connections()  # the hanging request is retried on the other server, or fails
             await asyncio.gather(*requests)
 
     run(test())
 
 
 def stated_budgets_s(servers: list[Server], request_id: str) -> list[float]:
-    """Return the time-outs that the servers were told with the attempts of a request."""
+    """Return the values of X-Budget in the attempts of a request that the servers received."""
     return [
         float(seen.headers["x-budget"])
         for server in servers
@@ -142,8 +141,11 @@
     ]
 
 
-def test_what_a_silent_connection_swallows_is_sent_again_in_time_to_count(tmp_path: Path) -> None:
-    """A first attempt times out after some times the usual delay, retries and unsafe attempts later."""
+def test_a_request_on_a_hanging_connection_is_retried_before_its_deadline(tmp_path: Path) -> None:
+    """A first attempt times out after a few times the usual response time.
+
+    Retries and attempts of non-idempotent requests have longer timeouts.
+    """
 
     async def test() -> None:
         servers = [Server(name="s0"), Server(name="s1")]
@@ -158,23 +160,24 @@
             first_s, second_s, _ = sorted(stated_budgets_s(servers, "a"))
             assert first_s < 0.7 * second_s
             await environment.send_request("once", "pay")
-            [unsafe_s] = stated_budgets_s(servers, "once")
-            assert unsafe_s > 1.5 * first_s
+            [non_idempotent_s] = stated_budgets_s(servers, "once")
+            assert non_idempotent_s > 1.5 * first_s
 
     run(test())
 
 
-def test_a_deadline_ends_what_the_module_leaves_open(
+def test_a_request_that_the_policy_does_not_end_fails_at_its_deadline(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Whatever goes wrong inside, an accepted request gets its one answer, which promises nothing."""
+    """If the policy ignores a request or raises an error, the client still gets one response, status 504."""
     handle = Balancer.handle
 
     def broken_handle(self: Balancer, event: PolicyEvent, now_ms: float) -> list[PolicyAction]:
-        if isinstance(event, RequestReceived) and event.request_id == "1":  # the node's own keys
+        # The node numbers requests from 1.
+        if isinstance(event, RequestReceived) and event.request_id == "1":
             return []
         if isinstance(event, RequestReceived) and event.request_id == "2":
-            raise RuntimeError("a fault")
+            raise RuntimeError("error in the policy")
         return handle(self, event, now_ms)
 
     monkeypatch.setattr(Balancer, "handle", broken_handle)
@@ -183,7 +186,7 @@
         server = Server()
         async with node_environment(tmp_path, server) as environment:
             with caplog.at_level(logging.CRITICAL):
-                for request_id in ("lost", "raises"):
+                for request_id in ("ignored", "raises"):
                     loop = asyncio.get_running_loop()
                     sent_at_s = loop.time()
                     assert (await environment.send_request(request_id, budget="0.3")).status == 504
@@ -194,7 +197,7 @@
 
 
 @pytest.mark.parametrize(("allowed", "retry_after_s"), [(True, 0.5), (False, None)])
-def test_a_request_given_up_on_is_refused_at_once(
+def test_a_request_with_no_time_for_an_attempt_is_rejected_at_once(
     tmp_path: Path, allowed: bool, retry_after_s: float | None
 ) -> None:
     async def test() -> None:
@@ -209,19 +212,19 @@
     run(test())
 
 
-def test_sockets_stay_within_their_limit_and_idle_ones_make_room(tmp_path: Path) -> None:
+def test_client_connections_stay_within_their_limit_by_closing_idle_ones(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server, sockets=29) as environment:
             first = await environment.client()
-            for n in range(9):  # 18 responses: from 20 on the time-out would be 8 times a delay of none
-                await (
-                    environment.client()
-                )  # sends nothing: such connections are closed before those that have sent a request
+            # 18 responses: from the 20th on, the timeout of attempts would be 8 times the usual response
+            # time, which is nearly 0 here.
+            for n in range(9):
+                # This client sends no request: connections without a request are closed before others.
+                await environment.client()
                 assert (await environment.send_request(f"{n}")).status == 200
-                assert (
-                    await first.send_request(f"first-{n}")
-                ).status == 200  # the longest idle are closed, not the oldest
+                # Of the others, the one that has been idle longest is closed, not the one opened first.
+                assert (await first.send_request(f"first-{n}")).status == 200
                 assert environment.node is not None
                 assert environment.node.frontend.connection_count() <= 15  # of 29
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -1,4 +1,4 @@
-"""The node and discovery: watches that fail or fall silent, readiness, and the cached list."""
+"""Tests of a node and discovery: failed and unanswered watches, readiness, and the cached list."""
 
 from __future__ import annotations
 
@@ -28,12 +28,14 @@
     ),
     render_response(200, b"[" * 100_000),
 ]
-NOTIFIED_WITHIN_S = 6.0  # after discovery has something new
+MAX_UPDATE_LATENCY_S = 6.0
 READY_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
 
 
 @pytest.mark.parametrize("response", UNUSABLE_RESPONSES)
-def test_a_failed_watch_is_asked_again_and_the_old_list_stays(response: bytes, tmp_path: Path) -> None:
+def test_a_failed_watch_is_repeated_and_the_previous_list_stays_in_use(
+    response: bytes, tmp_path: Path
+) -> None:
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
         await other.start()
@@ -51,7 +53,7 @@
     run(test())
 
 
-def test_changes_from_before_the_list_bring_the_whole_list(tmp_path: Path) -> None:
+def test_an_update_older_than_the_list_is_followed_by_a_poll(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
@@ -68,7 +70,7 @@
     run(test())
 
 
-def test_the_next_watch_goes_on_from_the_last_answer_on_the_same_connection(tmp_path: Path) -> None:
+def test_each_watch_states_the_last_version_on_the_same_connection(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
@@ -85,24 +87,22 @@
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-def test_watches_that_fall_silent_are_opened_anew_before_what_they_miss_counts(
-    mode: str, tmp_path: Path
-) -> None:
-    """The first watch was never answered, and a whole release passed before the next one was opened.
+def test_unanswered_watches_are_replaced_before_an_update_is_late(mode: str, tmp_path: Path) -> None:
+    """The node once waited for an unanswered watch during a whole release.
 
-    The node has 6 s to know what a silent watch misses, from when it fell silent, also if the next watch is
-    silent too.
+    It must receive an update within 6 s after a watch stops responding, even if the next watch gets no
+    response either.
     """
     rules = {"ask_every_ms": 60_000.0}
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), membership_mode=mode, rules=rules) as environment:
-            async with asyncio.timeout(NOTIFIED_WITHIN_S):
+            async with asyncio.timeout(MAX_UPDATE_LATENCY_S):
                 await until(lambda: environment.agent.watches() >= 3)
-            assert environment.agent.accepted_connections == 3  # the silent ones are abandoned
+            assert environment.agent.accepted_connections == 3  # the unanswered watches are superseded
             new = Server(name="new")
             await new.start()
-            # The first two of these go to the watches that are lost.
+            # The first two updates answer the superseded watches.
             environment.agent.publish()
             environment.agent.publish()
             environment.agent.publish(new.entry())
@@ -114,33 +114,33 @@
     run(test())
 
 
-def test_a_servers_number_depends_on_its_name_alone() -> None:
-    """Replicas divide the fleet by these ids: they must agree in every process and at every release."""
+def test_server_ids_depend_only_on_the_names() -> None:
+    """Replicas divide the servers by id, so ids must be the same in every process and every release."""
     assert server_id_from_name("s-5be2a07c") == 0x850D21AD14919D0C
     assert len({server_id_from_name(f"s-{n}") for n in range(1000)}) == 1000
 
 
-def test_ready_only_once_a_server_is_known(tmp_path: Path) -> None:
+def test_a_node_is_ready_only_once_it_has_a_server(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server, known=False) as environment:
             environment.agent.endpoints = []
-            caller = await environment.client()
-            caller.write(READY_CHECK)
-            assert (await caller.read()).status == 500
+            client = await environment.client()
+            client.write(READY_CHECK)
+            assert (await client.read()).status == 500
             await until(lambda: environment.agent.watches() == 1)
             environment.agent.publish(server.entry(), snapshot=True)
             await until(lambda: environment.agent.watches() == 2)
-            caller.write(READY_CHECK)
-            assert (await caller.read()).status == 200
+            client.write(READY_CHECK)
+            assert (await client.read()).status == 200
 
     run(test())
 
 
-def test_a_new_process_sends_nothing_on_its_saved_list_while_the_agent_may_hold_a_newer(
+def test_a_new_node_does_not_use_its_cached_list_before_discovery_answers(
     tmp_path: Path,
 ) -> None:
-    """The node counts as knowing from the first moment what the agent holds."""
+    """From its first moment, the node is expected to use the agent's list."""
 
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
@@ -148,26 +148,26 @@
         async with node_environment(tmp_path, old) as environment:
             environment.agent.may_respond.clear()
             environment.agent.endpoints = [new.entry()]
-            caller, other = await environment.client(), await environment.client()
-            caller.write(request("a"))
+            waiting_client, other_client = await environment.client(), await environment.client()
+            waiting_client.write(request("a"))
             await until(lambda: environment.node is not None and len(environment.node._requests.active) == 1)
-            assert (await other.get("/-/ready")).status == 500
+            assert (await other_client.get("/-/ready")).status == 500
             environment.agent.may_respond.set()
-            assert (await caller.read()).status == 200
-            assert (await other.get("/-/ready")).status == 200
+            assert (await waiting_client.read()).status == 200
+            assert (await other_client.get("/-/ready")).status == 200
             assert [seen.request_id for seen in new.received] == ["a"] and not old.received
         await new.stop()
 
     run(test())
 
 
-@pytest.mark.parametrize("silence", [HANG, CLOSE], ids=["silent", "closed"])
-def test_a_new_process_takes_its_saved_list_while_discovery_is_down(silence: bytes, tmp_path: Path) -> None:
+@pytest.mark.parametrize("failure", [HANG, CLOSE], ids=["hangs", "closes"])
+def test_a_new_node_uses_its_cached_list_while_discovery_is_down(failure: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
         await new.start()
         async with node_environment(tmp_path, old) as environment:
-            environment.agent.faulty_responses = [silence] * 3
+            environment.agent.faulty_responses = [failure] * 3
             await until(
                 lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
             )
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What comes back from a server decides what may be sent again: the protocol's table, row by row."""
+"""Tests of which server responses allow a retry, for each row of the protocol's table of outcomes."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 MAY_HAVE_RUN = {
     "500": render_response(500),
     "404": render_response(404),
-    "503 without the mark": render_response(503),
-    "504 with another mark": render_response(504, headers="X-Rejected: 0\r\n"),
-    "500 with the mark": render_response(500, headers="X-Rejected: 1\r\n"),
+    "503 without X-Rejected": render_response(503),
+    "504 with X-Rejected: 0": render_response(504, headers="X-Rejected: 0\r\n"),
+    "500 with X-Rejected: 1": render_response(500, headers="X-Rejected: 1\r\n"),
     "reset": RESET,
-    "end": CLOSE,
-    "noise": NOT_HTTP,
+    "close": CLOSE,
+    "not HTTP": NOT_HTTP,
     "half a head": b"HTTP/1.1 200 OK\r\nContent-Le" + CLOSE,
     "half a body": b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive!" + CLOSE,
     "no length, reset": b"HTTP/1.1 200 OK\r\n\r\nuntil the end" + RESET,
     "no length, reset before any of the body": b"HTTP/1.1 200 OK\r\n\r\n" + RESET,
     "no length, too long": b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (64 * 1024 + 1) + CLOSE,
-    "no length, an error": b"HTTP/1.1 500 Oh\r\n\r\nuntil the end" + CLOSE,
-    "coded in an unknown way": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nxyz" + CLOSE,
+    "no length, status 500": b"HTTP/1.1 500 Oh\r\n\r\nuntil the end" + CLOSE,
+    "unknown transfer coding": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nxyz" + CLOSE,
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
-    "twice the same length": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
-    "length beside chunks": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
+    "same length twice": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
+    "length and chunked": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
     b"3\r\nabc\r\n0\r\n\r\n",
-    "interim answers without end": b"HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n" * 1000,
-    "bad length": b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nabcde",
+    "endless interim responses": b"HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n" * 1000,
+    "negative length": b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nabcde",
     "huge length": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
     "long body": render_response(200, b"x" * (64 * 1024 + 1)),
     "long chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -43,13 +43,13 @@
     "upgrade": b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
 }
 NEVER_RAN = {
-    "503 turned away": render_response(503, headers="X-Rejected: 1\r\n"),
-    "504 turned away": render_response(504, headers="X-Rejected: 1\r\n"),
+    "503 with X-Rejected: 1": render_response(503, headers="X-Rejected: 1\r\n"),
+    "504 with X-Rejected: 1": render_response(504, headers="X-Rejected: 1\r\n"),
 }
 
 
 @pytest.mark.parametrize("response", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN.keys())
-def test_an_unsafe_request_that_may_have_run_fails_and_is_never_sent_again(
+def test_a_non_idempotent_request_that_may_have_run_fails_and_is_not_retried(
     response: bytes, tmp_path: Path
 ) -> None:
     async def test() -> None:
@@ -58,14 +58,14 @@
             assert (await environment.send_request("a", "pay")).status == 502
             assert (
                 await environment.send_request("b", "pay")
-            ).body == b"done"  # and nothing of it reaches the next
+            ).body == b"done"  # no data of the first response reaches the next one
             assert [seen.request_id for seen in server.received] == ["a", "b"]
 
     run(test())
 
 
 @pytest.mark.parametrize("rejection", NEVER_RAN.values(), ids=NEVER_RAN.keys())
-def test_an_unsafe_request_that_was_turned_away_is_sent_again(rejection: bytes, tmp_path: Path) -> None:
+def test_a_non_idempotent_request_that_was_rejected_is_retried(rejection: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(rejection)
         async with node_environment(tmp_path, server) as environment:
@@ -75,19 +75,19 @@
     run(test())
 
 
-def test_a_connection_that_is_refused_never_ran_it(tmp_path: Path) -> None:
+def test_a_non_idempotent_request_is_retried_after_a_refused_connection(tmp_path: Path) -> None:
     async def test() -> None:
         down, up = Server(name="down"), Server(name="up")
         async with node_environment(tmp_path, down, up) as environment:
             await down.stop()
-            for n in range(6):  # the round robin selects the one that is down, too
+            for n in range(6):  # round robin also selects the server that is down
                 assert (await environment.send_request(f"{n}", "pay")).body == b"done"
             assert sorted(seen.request_id for seen in up.received) == [f"{n}" for n in range(6)]
 
     run(test())
 
 
-def test_silence_is_a_time_out_and_closes_the_connection(tmp_path: Path) -> None:
+def test_a_missing_response_times_out_and_closes_the_connection(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(HANG)
         async with node_environment(tmp_path, server) as environment:
@@ -98,7 +98,7 @@
     run(test())
 
 
-def test_good_answers_that_bring_more_are_served_and_their_connection_dropped(tmp_path: Path) -> None:
+def test_responses_followed_by_extra_data_are_used_and_their_connections_closed(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(
             render_response(200, b"one") + render_response(200, b"two"),
@@ -115,7 +115,7 @@
     run(test())
 
 
-def test_interim_answers_and_chunks_are_read_and_the_body_is_passed_on_unchanged(tmp_path: Path) -> None:
+def test_interim_and_chunked_responses_are_read_and_bodies_are_passed_on_unchanged(tmp_path: Path) -> None:
     async def test() -> None:
         body = bytes(range(256)) * 256
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
@@ -128,7 +128,7 @@
     run(test())
 
 
-def test_what_must_go_on_unchanged_does(tmp_path: Path) -> None:
+def test_target_id_key_and_body_of_a_request_are_forwarded_unchanged(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
@@ -144,8 +144,8 @@
     run(test())
 
 
-def test_what_must_not_run_twice_goes_on_a_fresh_connection_and_these_do_not_add_up(tmp_path: Path) -> None:
-    """An idle connection may be dead with no sign of it: a request lost on it may have run, and fails."""
+def test_non_idempotent_requests_use_new_connections_that_replace_idle_ones(tmp_path: Path) -> None:
+    """An idle connection may be dead without notice; a request lost on it may have run and would fail."""
 
     async def test() -> None:
         server = Server()
--- a/tests/test_start_and_stop.py
+++ b/tests/test_start_and_stop.py
@@ -26,7 +26,7 @@
             waiting_client.write(request("held", "pay"))
             await until(lambda: len(server.received) == 2)
             program.process.send_signal(signal.SIGTERM)
-            await program.refuses()
+            await program.wait_until_refusing()
             server.may_respond.set()
             assert (await waiting_client.read()).status == 200
             assert await idle_client.closed() and await waiting_client.closed()
