--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock change nothing of what the node knows of the starts of servers."""
+"""Tests that steps of the wall clock do not change the start times of servers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class WallClock:
-    """The node's wall clock; steps of it leave the monotonic clock alone."""
+    """A wall clock for the node that can be stepped; the monotonic clock is not affected."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._true_time = time.time
@@ -27,39 +27,39 @@
         monkeypatch.setattr(time, "time", lambda: self._true_time() + self.offset_s)
 
     def true_ms(self) -> int:
-        """The time by the servers' clocks, in ms."""
+        """Return the time on the servers' clocks, in Unix time in ms."""
         return int(self._true_time() * 1000.0)
 
 
 def capacity_fractions(environment: NodeEnvironment) -> dict[str, float]:
-    """The fraction of its capacity that the node takes each server to have, by its name."""
+    """Return the fraction of its full capacity that the node assumes for each server, by server name."""
     assert environment.node is not None
-    module = environment.node._balancer
-    names = {
-        environment.node._endpoints.addresses[server_id]: server_id for server_id in module.fleet.servers
+    balancer = environment.node._balancer
+    ids_by_address = {
+        environment.node._endpoints.addresses[server_id]: server_id for server_id in balancer.fleet.servers
     }
-    by_name = {
-        server.name: names["127.0.0.1", int(server.address.rpartition(":")[2])]
+    ids_by_name = {
+        server.name: ids_by_address["127.0.0.1", int(server.address.rpartition(":")[2])]
         for server in environment.servers
     }
     now = now_ms()
     return {
-        name: module._slow_start.capacity_fraction(module.fleet.servers[server_id], now)
-        for name, server_id in by_name.items()
+        name: balancer._slow_start.capacity_fraction(balancer.fleet.servers[server_id], now)
+        for name, server_id in ids_by_name.items()
     }
 
 
 async def send_complete_list(environment: NodeEnvironment, entries: list[dict[str, object]]) -> None:
-    """Send a complete list and wait until the node has taken it."""
+    """Send a complete list, and wait until the node has applied it."""
     watches = environment.agent.watches()
     environment.agent.publish(*entries, snapshot=True)
     await until(lambda: environment.agent.watches() > watches)
 
 
-def test_a_step_of_the_wall_clock_leaves_warm_servers_warm_and_cold_ones_cold(
+def test_after_a_wall_clock_step_old_servers_have_full_capacity_and_restarted_ones_warm_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a step back all servers counted as warming up; after one forward a new one got full load."""
+    """Servers once counted as warming up after a step back, and got full load too early after a step forward."""
 
     async def test(step_s: float) -> None:
         clock = WallClock(monkeypatch)
@@ -86,18 +86,18 @@
         run(test(step_s))
 
 
-# When the list that reports a start is received: now, as the node's clock counts from the machine's start.
+# When the list that reports a start is received. The node's clock counts from the machine's start.
 RECEIVED_AT_MS = now_ms()
-PREVIOUS_AT_MS = RECEIVED_AT_MS - 1000.0  # of the list before it
+PREVIOUS_AT_MS = RECEIVED_AT_MS - 1000.0  # when the previous list was received
 
 
 def entry(name: str, since_ms: float) -> dict[str, object]:
-    """An entry as discovery writes it."""
+    """Return a list entry as discovery writes it."""
     return {"name": name, "address": "127.0.0.1:1", "status": "active", "since_ms": since_ms}
 
 
 def list_of_one(since_ms: float, previous_at_ms: float = PREVIOUS_AT_MS) -> EndpointList:
-    """A list with a server that started at this time."""
+    """Return a list with one server that started at this time."""
     endpoints = read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [entry("s", since_ms)]})
     endpoints.previous_response_at_ms = previous_at_ms
     return endpoints
@@ -106,7 +106,7 @@
 def assigned_start_ms(
     tracker: IncarnationTracker, endpoints: EndpointList, received_at_ms: float = RECEIVED_AT_MS
 ) -> float | None:
-    """The start that the tracker assigns to the one server of a list, on the node's clock."""
+    """Return the start that the tracker assigns to the one server of a list, on the node's clock."""
     tracker.assign_start_times(endpoints, received_at_ms)
     [endpoint] = endpoints.endpoints
     return endpoint.started_at_ms
@@ -117,7 +117,7 @@
     [(HOUR_S, PREVIOUS_AT_MS), (-HOUR_S, RECEIVED_AT_MS)],
     ids=["ahead", "behind"],
 )
-def test_with_a_wall_clock_that_was_always_wrong_a_new_start_lies_between_two_lists(
+def test_with_a_wrong_wall_clock_a_new_start_is_limited_to_the_time_between_two_lists(
     error_s: float, expected_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = WallClock(monkeypatch)
@@ -126,21 +126,21 @@
     assert assigned_start_ms(tracker, list_of_one(clock.true_ms())) == expected_ms
 
 
-def test_a_start_is_new_only_where_discovery_tells_another_one() -> None:
+def test_the_assigned_start_changes_only_if_discovery_reports_another_one() -> None:
     tracker = IncarnationTracker()
     assert assigned_start_ms(tracker, list_of_one(0)) is None
-    # Long ago, by a clock that has been set since.
+    # The start was long ago, by a server clock that has been set since.
     assert assigned_start_ms(tracker, list_of_one(1000.0, -math.inf)) is not None
     first_ms = assigned_start_ms(tracker, list_of_one(1000.0))
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 1000.0) == first_ms
     tracker.forget(server_id_from_name("s"))
-    # The server returns with the same start, as after the loss of a region: it has not been restarted.
+    # The server returns with the same start, for example after an outage of its region: it was not restarted.
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 2000.0) == first_ms
-    # A new start that lies earlier, because the server's clock was set back.
+    # A new start may be earlier than the last one, because the server's clock was set back.
     assert assigned_start_ms(tracker, list_of_one(900.0), RECEIVED_AT_MS + 3000.0) == PREVIOUS_AT_MS
 
 
-def test_what_is_remembered_of_servers_that_left_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_remembered_removed_servers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("workspond.discovery.incarnations.MAX_REMOVED_SERVERS", 3)
     tracker = IncarnationTracker()
     for number in range(10):
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -1,4 +1,4 @@
-"""The time that a server is told is what the client has left when the request is written."""
+"""Tests that X-Budget of an attempt is the time that the client has left when the request is written."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from tests.test_listener import FailingSocket
 from workspond.downstream.listener import ACCEPT_RETRY_DELAY_S
 
-SLACK_S = 0.15  # by how much the time that the server is told may exceed what is left
+TOLERANCE_S = 0.15  # how much the X-Budget sent to a server may exceed the remaining time
 BUDGET_S = 2.5
 
 
-def time_left_s(sent_at_s: float) -> float:
-    """Return how much of the budget is left to a request."""
+def remaining_time_s(sent_at_s: float) -> float:
+    """Return how much of its budget a request has left."""
     return BUDGET_S - (time.monotonic() - sent_at_s)
 
 
 def block_event_loop(duration_s: float) -> None:
-    """Keep the event loop, and the node in it, from doing anything."""
+    """Block the event loop, and with it the node."""
     time.sleep(duration_s)
 
 
-def test_the_deadline_passed_on_counts_the_time_that_the_dial_took(tmp_path: Path) -> None:
-    """The head was rendered before the dial: 2.37 s were stated where 1.47 s were left."""
+def test_the_time_to_connect_is_subtracted_from_the_forwarded_deadline(tmp_path: Path) -> None:
+    """The head was once rendered before connecting: it stated 2.37 s when 1.47 s were left."""
 
     async def test() -> None:
         with StalledListener() as stalled:
@@ -40,43 +40,45 @@
                 node = environment.node
                 assert node is not None
                 await until(node.is_ready)
-                caller = await environment.client()
+                client = await environment.client()
                 sent_at_s = time.monotonic()
-                caller.write(request("late", budget=str(BUDGET_S)))
+                client.write(request("late", budget=str(BUDGET_S)))
                 await until(lambda: len(node._upstream._connecting) == 1)
                 reader, writer = await asyncio.open_connection(sock=await stalled.accept())
                 seen = await read_message(reader)
-                left_s = time_left_s(sent_at_s)
+                remaining_s = remaining_time_s(sent_at_s)
                 writer.close()
-                assert seen is not None and left_s < BUDGET_S - 0.5
-                assert float(seen.headers["x-budget"]) <= left_s + SLACK_S
+                assert seen is not None and remaining_s < BUDGET_S - 0.5
+                assert float(seen.headers["x-budget"]) <= remaining_s + TOLERANCE_S
 
     run(test())
 
 
-def test_the_deadline_of_a_request_sent_ahead_counts_from_when_it_came(tmp_path: Path) -> None:
-    """It counted from the end of the request before it on the connection."""
+def test_the_deadline_of_a_pipelined_request_counts_from_its_arrival(tmp_path: Path) -> None:
+    """It once counted from the end of the previous request on the connection."""
 
     async def test() -> None:
         server = Server()
         server.may_respond.clear()
         async with node_environment(tmp_path, server) as environment:
-            caller = await environment.client()
+            client = await environment.client()
             sent_at_s = time.monotonic()
-            caller.write(request("first") + request("second", budget=str(BUDGET_S)))
+            client.write(request("first") + request("second", budget=str(BUDGET_S)))
             await until(lambda: len(server.received) == 1)
             await asyncio.sleep(1.0)
             server.may_respond.set()
             await until(lambda: len(server.received) == 2)
-            left_s = time_left_s(sent_at_s)
-            assert float(server.received[1].headers["x-budget"]) <= left_s + SLACK_S
+            remaining_s = remaining_time_s(sent_at_s)
+            assert float(server.received[1].headers["x-budget"]) <= remaining_s + TOLERANCE_S
 
     run(test())
 
 
-@pytest.mark.parametrize("cause", ["a shortage of descriptors", "a busy event loop"])
-def test_the_time_that_a_request_lay_unread_counts(cause: str, tmp_path: Path) -> None:
-    """0.355 s were stated where the client's time was over, after a failing accept."""
+@pytest.mark.parametrize("cause", ["shortage of descriptors", "blocked event loop"])
+def test_the_time_before_a_request_is_read_is_subtracted_from_the_forwarded_deadline(
+    cause: str, tmp_path: Path
+) -> None:
+    """After accept had failed, 0.355 s were once stated when the client had no time left."""
     delay_s = 0.6
 
     async def test() -> None:
@@ -87,17 +89,17 @@
             await until(node.is_ready)
             listener = node.frontend._listener
             assert listener is not None
-            if cause == "a shortage of descriptors":
+            if cause == "shortage of descriptors":
                 errors = [errno.EMFILE] * round(delay_s / ACCEPT_RETRY_DELAY_S + 1)
                 listener._socket = cast(socket.socket, FailingSocket(listener._socket, *errors))
-            with socket.create_connection(environment.address, WAIT_TIMEOUT_S) as caller:
+            with socket.create_connection(environment.address, WAIT_TIMEOUT_S) as client:
                 sent_at_s = time.monotonic()
-                caller.sendall(request("a", budget=str(BUDGET_S)))
-                if cause == "a busy event loop":
+                client.sendall(request("a", budget=str(BUDGET_S)))
+                if cause == "blocked event loop":
                     block_event_loop(delay_s)
                 await until(lambda: len(server.received) == 1)
-                left_s = time_left_s(sent_at_s)
-                assert left_s < BUDGET_S - delay_s
-                assert float(server.received[0].headers["x-budget"]) <= left_s + SLACK_S
+                remaining_s = remaining_time_s(sent_at_s)
+                assert remaining_s < BUDGET_S - delay_s
+                assert float(server.received[0].headers["x-budget"]) <= remaining_s + TOLERANCE_S
 
     run(test())
--- a/tests/test_endpoint_list_reader.py
+++ b/tests/test_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Complete lists of which only changed entries are parsed give the same result as lists parsed in full."""
+"""Tests that parsing only the changed entries of lists gives the same endpoints as parsing lists in full."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def entry(number: int, **changes: Any) -> dict[str, Any]:
-    """An entry of a list as discovery writes it."""
+    """Return a list entry as discovery writes it."""
     return {
         "name": f"s{number}",
         "address": f"10.0.0.{number}:9000",
@@ -31,12 +31,12 @@
 
 
 def list_body(entries: list[dict[str, Any]], *, complete: bool = True, indent: int | None = None) -> bytes:
-    """A list as discovery writes it."""
+    """Return the body of a list as discovery writes it."""
     return json.dumps({"index": 7, "snapshot": complete, "endpoints": entries}, indent=indent).encode()
 
 
-class KnownEndpoints:
-    """The endpoints known to somebody who applies each list that is read."""
+class CurrentEndpoints:
+    """The endpoints after each list that is read has been applied."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, Endpoint] = {}
@@ -53,34 +53,34 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_is_known_after_any_lists_is_that_of_lists_read_in_full(seed: int) -> None:
+def test_random_lists_read_by_difference_give_the_same_endpoints_as_lists_read_in_full(seed: int) -> None:
     rng = Random(seed)
     reader = EndpointListReader()
-    by_difference = KnownEndpoints()
-    in_full = KnownEndpoints()
-    fleet = {number: entry(number) for number in range(30)}
+    by_difference = CurrentEndpoints()
+    in_full = CurrentEndpoints()
+    entries_by_number = {number: entry(number) for number in range(30)}
     for _ in range(60):
         changed = rng.sample(range(40), rng.choice((0, 1, 1, 5)))
         for number in changed:
             status = rng.choice(("active", "active", "leaving"))
-            fleet[number] = entry(
+            entries_by_number[number] = entry(
                 number, status=status, since_ms=rng.randrange(3), weight=rng.choice((1.0, 2.0))
             )
-        removed = rng.sample(sorted(fleet), rng.choice((0, 0, 1)))
+        removed = rng.sample(sorted(entries_by_number), rng.choice((0, 0, 1)))
         for number in removed:
-            del fleet[number]
+            del entries_by_number[number]
         if rng.random() < 0.5:
-            body = list_body(list(fleet.values()), indent=rng.choice((None, 1)))
+            body = list_body(list(entries_by_number.values()), indent=rng.choice((None, 1)))
         else:
             removals = [entry(number, status="left") for number in removed]
-            changes = [fleet[number] for number in changed if number in fleet]
+            changes = [entries_by_number[number] for number in changed if number in entries_by_number]
             body = list_body(changes + removals, complete=False)
         by_difference.apply(reader.read(body))
         in_full.apply(read_endpoint_list(json.loads(body)))
         assert by_difference.by_id == in_full.by_id
 
 
-def test_of_a_list_with_nothing_new_no_entry_is_read() -> None:
+def test_unchanged_entries_of_a_complete_list_are_not_parsed() -> None:
     reader = EndpointListReader()
     body = list_body([entry(number) for number in range(50)])
     assert len(reader.read(body).endpoints) == 50
@@ -107,10 +107,12 @@
     ],
 )
 @pytest.mark.parametrize("indent", [None, 2])
-def test_lists_of_other_forms_are_read_too(entries: list[dict[str, Any]], indent: int | None) -> None:
+def test_lists_in_unusual_forms_give_the_same_endpoints_as_lists_read_in_full(
+    entries: list[dict[str, Any]], indent: int | None
+) -> None:
     reader = EndpointListReader()
-    by_difference = KnownEndpoints()
-    in_full = KnownEndpoints()
+    by_difference = CurrentEndpoints()
+    in_full = CurrentEndpoints()
     for listed in (entries, entries, [*entries, entry(9)]):
         body = list_body(listed, indent=indent)
         by_difference.apply(reader.read(body))
@@ -132,7 +134,7 @@
         b'{"a": {"endpoints": [{}]}, "index": 1, "snapshot": true}',
     ],
 )
-def test_a_spoilt_list_is_refused_and_changes_nothing(body: bytes) -> None:
+def test_an_invalid_list_is_rejected_and_does_not_affect_the_next_one(body: bytes) -> None:
     reader = EndpointListReader()
     valid_body = list_body([entry(number) for number in range(5)])
     reader.read(valid_body)
@@ -141,8 +143,8 @@
     assert len(reader.read(valid_body).unchanged_ids) == 5
 
 
-def test_a_server_that_a_whole_list_does_not_name_is_gone(tmp_path: Path) -> None:
-    """The others are as before, so the list's difference is all that the policy gets."""
+def test_a_server_missing_from_a_complete_list_receives_no_requests(tmp_path: Path) -> None:
+    """The other entry is unchanged, so the policy receives only the removal."""
 
     async def test() -> None:
         servers = [Server(name="s0"), Server(name="s1")]
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,4 +1,4 @@
-"""How soon processes are ready that start at once, whatever discovery does."""
+"""Tests how soon processes that start at the same time are ready, for each state of discovery."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from tests.program import read_listen_address, spawn
 from workspond.address import parse_address
 
-STARTED_AT_ONCE = 20  # a tenth of a fleet of 200
+PROCESS_COUNT = 20  # a tenth of a deployment of 200 nodes
 READY_WITHIN_S = 10.0
-READY_FRACTION = 0.9  # of the processes that have to be ready by then
-READY_POLL_S = 0.02
+READY_FRACTION = 0.9  # the part of the processes that must be ready by then
+READY_CHECK_INTERVAL_S = 0.02
 
 
 @contextlib.asynccontextmanager
-async def discovery_state(registry: ScriptedDiscoveryAgent, state: str) -> AsyncIterator[None]:
-    """Put discovery into a state for as long as the context lasts."""
-    if state == "silent":
-        registry.may_respond.clear()
+async def discovery_state(agent: ScriptedDiscoveryAgent, state: str) -> AsyncIterator[None]:
+    """Put the discovery agent into a state while the context is active."""
+    if state == "does not answer":
+        agent.may_respond.clear()
     elif state != "up":
-        registry._server.close()
-        await registry._server.wait_closed()
+        agent._server.close()
+        await agent._server.wait_closed()
     with contextlib.ExitStack() as stack:
-        if state == "a dial that hangs":
-            address = parse_address(registry.address)
-            # The backlog is full with one connection, which nobody accepts.
+        if state == "connections hang":
+            address = parse_address(agent.address)
+            # One connection, which is never accepted, fills the backlog.
             stack.enter_context(socket.create_server(address, backlog=0))
             stack.enter_context(socket.create_connection(address))
         yield
@@ -42,11 +42,11 @@
     while True:
         if (await client.get("/-/ready")).status == 200:
             return
-        await asyncio.sleep(READY_POLL_S)
+        await asyncio.sleep(READY_CHECK_INTERVAL_S)
 
 
 async def time_to_ready_s(path: Path) -> float:
-    """Start a process; returns how long it took until it was ready."""
+    """Start a process, and return how long it took until it was ready, in seconds."""
     started_at_s = time.monotonic()
     process = await spawn(path)
     try:
@@ -59,9 +59,9 @@
         await process.wait()
 
 
-@pytest.mark.parametrize("discovery", ["up", "down", "silent", "a dial that hangs"])
-def test_nine_in_ten_of_those_that_start_at_once_are_ready_in_time(discovery: str, tmp_path: Path) -> None:
-    """They share this machine's cores, as those of a fleet share theirs. (Passed when it was written.)"""
+@pytest.mark.parametrize("discovery", ["up", "down", "does not answer", "connections hang"])
+def test_nine_in_ten_processes_that_start_at_once_are_ready_in_time(discovery: str, tmp_path: Path) -> None:
+    """The processes share this machine's cores, as the processes of a deployment share theirs."""
 
     async def test() -> None:
         async with (
@@ -69,10 +69,10 @@
             discovery_state(environment.agent, discovery),
         ):
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                starts = [time_to_ready_s(environment.path) for _ in range(STARTED_AT_ONCE)]
+                starts = [time_to_ready_s(environment.path) for _ in range(PROCESS_COUNT)]
                 times_s = sorted(await asyncio.gather(*starts))
-            median_s = times_s[STARTED_AT_ONCE // 2]
+            median_s = times_s[PROCESS_COUNT // 2]
             print(f"discovery {discovery}: half ready after {median_s:.2f} s, all {times_s[-1]:.2f}")
-            assert times_s[int(READY_FRACTION * STARTED_AT_ONCE) - 1] <= READY_WITHIN_S
+            assert times_s[int(READY_FRACTION * PROCESS_COUNT) - 1] <= READY_WITHIN_S
 
     run(test())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again, and no request or connection is disturbed."""
+"""Tests of the reload on SIGHUP: the discovery address changes, and no request or connection is disturbed."""
 
 from __future__ import annotations
 
@@ -25,13 +25,12 @@
     until,
 )
 from tests.program import Program
-from workspond.discovery import agent_client as agent_link
-from workspond.discovery import watcher as discovery
+from workspond.discovery import agent_client, watcher
 
 
-def write_config(environment: NodeEnvironment, registry: ScriptedDiscoveryAgent) -> None:
+def write_config(environment: NodeEnvironment, agent: ScriptedDiscoveryAgent) -> None:
     """Write a configuration that names another discovery agent."""
-    environment.path.write_text(json.dumps(environment.config | {"discovery": registry.address}))
+    environment.path.write_text(json.dumps(environment.config | {"discovery": agent.address}))
 
 
 async def wait_for_log_line(program: Program, text: bytes) -> None:
@@ -44,8 +43,8 @@
             return
 
 
-def test_sighup_moves_to_the_new_address_of_discovery_and_keeps_what_is_held(tmp_path: Path) -> None:
-    """It had no handler: the process ended, and what it held was lost."""
+def test_sighup_switches_to_the_new_discovery_agent_and_keeps_open_requests(tmp_path: Path) -> None:
+    """Without a handler, SIGHUP ended the process and its open requests were lost."""
 
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
@@ -53,11 +52,11 @@
         other = ScriptedDiscoveryAgent()
         await new.start()
         await other.start()
-        other.endpoints, other.index = [new.entry()], 1  # versions there are its own
+        other.endpoints, other.index = [new.entry()], 1  # each agent numbers its own versions
         async with node_environment(tmp_path, old, start=False) as environment:
             program = await Program.start(environment)
-            caller = await environment.client()
-            caller.write(request("held", "pay"))
+            client = await environment.client()
+            client.write(request("held", "pay"))
             await until(lambda: len(old.received) == 1)
 
             environment.path.write_text("{")
@@ -67,15 +66,15 @@
             write_config(environment, other)
             program.process.send_signal(signal.SIGHUP)
             await until(lambda: len(other.received) == 2)
-            watch = f"/api/targets?index=1&wait={discovery.WATCH_MS}"
+            watch = f"/api/targets?index=1&wait={watcher.WATCH_MS}"
             assert [seen.target for seen in other.received] == ["/api/targets", watch]
 
             old.may_respond.set()
-            assert (await caller.read()).status == 200
-            assert (await caller.send_request("next")).status == 200  # on the same connection
+            assert (await client.read()).status == 200
+            assert (await client.send_request("next")).status == 200  # on the same connection
             assert [seen.request_id for seen in new.received] == ["next"]
 
-            write_config(environment, environment.agent)  # and back again
+            write_config(environment, environment.agent)  # back to the first agent
             program.process.send_signal(signal.SIGHUP)
             await until(lambda: environment.agent.watches() == 2)
             program.process.send_signal(signal.SIGTERM)
@@ -87,10 +86,10 @@
     run(test())
 
 
-def test_a_new_address_that_is_silent_at_first_is_heard_before_its_list_counts_as_told(
+def test_the_list_of_a_new_agent_whose_first_response_is_missing_arrives_within_4_s(
     tmp_path: Path,
 ) -> None:
-    """The list counts as received 4 s after the signal; the timeout of the call for it was 5 s."""
+    """The node must have the list 4 s after the signal; the timeout of the first call was once 5 s."""
 
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
@@ -117,43 +116,43 @@
 RELOAD_INTERVAL_S = 0.2
 
 
-class SlowRegistry(ScriptedDiscoveryAgent):
-    """An agent that answers each call after a while."""
+class SlowAgent(ScriptedDiscoveryAgent):
+    """A discovery agent that answers each call after `RESPONSE_DELAY_S`."""
 
     async def script(self, message: Message) -> bytes:
         await asyncio.sleep(RESPONSE_DELAY_S)
         return await super().script(message)
 
 
-def test_reloads_in_quick_succession_do_not_keep_a_change_from_being_heard(tmp_path: Path) -> None:
-    """Each dropped the call in flight: no answer that takes 0.5 s came as long as the signals did."""
+def test_an_update_arrives_during_reloads_in_quick_succession(tmp_path: Path) -> None:
+    """Each reload once dropped the call in flight, so that responses after 0.5 s were never received."""
 
     async def test() -> None:
         server, new = Server(name="old"), Server(name="new")
-        source = SlowRegistry()
+        agent = SlowAgent()
         await new.start()
-        await source.start()
+        await agent.start()
         async with node_environment(tmp_path, server) as environment:
             assert environment.node is not None
-            node, (host, _, port) = environment.node, source.address.rpartition(":")
-            source.endpoints = [server.entry(), new.entry()]
+            node, (host, _, port) = environment.node, agent.address.rpartition(":")
+            agent.endpoints = [server.entry(), new.entry()]
             await until(lambda: len(node._endpoints.in_service) == 1)
-            began_s = time.monotonic()
+            started_at_s = time.monotonic()
             while len(node._endpoints.in_service) == 1:
-                assert time.monotonic() - began_s < 5 * RESPONSE_DELAY_S
+                assert time.monotonic() - started_at_s < 5 * RESPONSE_DELAY_S
                 node.reconfigure(dataclasses.replace(node._config, discovery=(host, int(port))))
                 await asyncio.sleep(RELOAD_INTERVAL_S)
         await new.stop()
-        await source.stop()
+        await agent.stop()
 
     run(test())
 
 
-def test_what_the_old_address_still_says_is_not_heard(tmp_path: Path) -> None:
+def test_an_update_of_the_previous_agent_is_not_used_after_the_switch(tmp_path: Path) -> None:
     async def test() -> None:
-        server, ghost = Server(), Server(name="ghost")
+        server, unlisted = Server(), Server(name="unlisted")
         other = ScriptedDiscoveryAgent()
-        await ghost.start()
+        await unlisted.start()
         await other.start()
         async with node_environment(tmp_path, server) as environment:
             other.endpoints = [server.entry()]
@@ -161,28 +160,28 @@
             assert environment.node is not None
             host, _, port = other.address.rpartition(":")
             environment.node._discovery.change_address((host, int(port)))
-            environment.agent.publish(ghost.entry(), snapshot=True)
+            environment.agent.publish(unlisted.entry(), snapshot=True)
             await until(lambda: len(other.received) == 2)
             for number in range(4):
                 assert (await environment.send_request(f"{number}")).status == 200
-            assert not ghost.received and len(server.received) == 4
-        await ghost.stop()
+            assert not unlisted.received and len(server.received) == 4
+        await unlisted.stop()
         await other.stop()
 
     run(test())
 
 
-def test_a_dial_to_discovery_that_hangs_is_given_up_and_another_made(
+def test_a_hanging_connection_attempt_to_discovery_times_out_and_is_repeated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It used up the whole timeout of a watch, 21.5 s."""
-    monkeypatch.setattr(agent_link, "CONNECT_TIMEOUT_S", 0.1)
+    """A hanging connection attempt once used up the whole timeout of a watch, 21.5 s."""
+    monkeypatch.setattr(agent_client, "CONNECT_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         server = Server()
         with socket.socket() as listener, socket.socket() as queue_filler:
             listener.bind(("127.0.0.1", 0))
-            listener.listen(0)  # its queue is full with one connection: the next handshake hangs
+            listener.listen(0)  # one connection fills the backlog: the next handshake hangs
             await asyncio.to_thread(queue_filler.connect, listener.getsockname())
             async with node_environment(tmp_path, server) as environment:
                 assert environment.node is not None
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at any moment of a process: a reload never ends it, and a shutdown is never a crash."""
+"""Tests of signals during start and shutdown: SIGHUP never ends the process, SIGTERM never crashes it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def signal_until_it_ends(process: asyncio.subprocess.Process, number: signal.Signals) -> int:
-    """Send a signal again and again until the process has ended; its exit status."""
+    """Send a signal repeatedly until the process has ended, and return its exit status."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
@@ -27,8 +27,8 @@
     return process.returncode
 
 
-def test_reloads_up_to_the_last_moment_of_a_planned_end_do_not_crash_it(tmp_path: Path) -> None:
-    """The event loop gives signals back to the system before the process has ended."""
+def test_sighup_until_the_end_of_a_shutdown_does_not_crash_the_process(tmp_path: Path) -> None:
+    """The event loop restores the default signal handling before the process has ended."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
@@ -41,14 +41,14 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_before_the_node_is_up_is_taken_once_it_is(number: signal.Signals, tmp_path: Path) -> None:
-    """The signal ended the process: its handlers were not there yet."""
+def test_a_signal_during_the_start_is_handled_after_the_start(number: signal.Signals, tmp_path: Path) -> None:
+    """Such a signal once ended the process, because its handler was not installed yet."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
             text = environment.path.read_text()
             environment.path.unlink()
-            os.mkfifo(environment.path)  # the process waits in it for its configuration
+            os.mkfifo(environment.path)  # the process blocks while it reads its configuration
             process = await spawn(environment.path)
             environment.processes.append(process)
             with await asyncio.to_thread(environment.path.open, "w") as file:
@@ -67,7 +67,7 @@
 
 
 async def read_until(process: asyncio.subprocess.Process, words: bytes) -> tuple[bool, bytes]:
-    """Read the log up to a line with these words, or its end."""
+    """Read the log up to a line with these words, or to its end; return whether there is one, and the log."""
     assert process.stderr is not None
     text = b""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists that arrive slowly or late, and in every framing of HTTP."""
+"""Tests of endpoint lists that arrive slowly, late, or in different HTTP framings."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     run,
     until,
 )
-from workspond.discovery import agent_client as agent_link
+from workspond.discovery import agent_client
 
-PIECES = 15  # at their interval they take longer than the timeout of a poll
+PIECE_COUNT = 15  # takes longer than the timeout of a poll, at this interval
 PIECE_INTERVAL_S = 0.1
 CHUNK_BYTES = 100
-RESPONSE_DELAY_S = 1.7  # longer than any call's timeout
+RESPONSE_DELAY_S = 1.7  # longer than the timeout of any call
 
 
-class TricklingRegistry(ScriptedDiscoveryAgent):
-    """An agent that writes complete lists piece by piece."""
+class PiecewiseAgent(ScriptedDiscoveryAgent):
+    """A discovery agent that writes complete lists slowly, piece by piece."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
@@ -40,119 +40,119 @@
         data = await super().script(message)
         if "index=" in message.target:
             return data
-        size = len(data) // PIECES
-        for start in range(0, PIECES * size, size):
+        size = len(data) // PIECE_COUNT
+        for start in range(0, PIECE_COUNT * size, size):
             self._writer.write(data[start : start + size])
             await asyncio.sleep(PIECE_INTERVAL_S)
-        return data[PIECES * size :]
+        return data[PIECE_COUNT * size :]
 
 
 @contextlib.asynccontextmanager
-async def node_to_start(
-    source: ScriptedDiscoveryAgent, server: Server, path: Path
+async def unstarted_node(
+    agent: ScriptedDiscoveryAgent, server: Server, path: Path
 ) -> AsyncIterator[NodeEnvironment]:
-    """A node that is not started yet and knows no server; its agent is `source`."""
-    await source.start()
+    """Yield an environment whose node is not started and has no cached servers; its agent is `agent`."""
+    await agent.start()
     async with node_environment(path, server, start=False, known=False) as environment:
-        environment.path.write_text(json.dumps(environment.config | {"discovery": source.address}))
+        environment.path.write_text(json.dumps(environment.config | {"discovery": agent.address}))
         yield environment
-    await source.stop()
+    await agent.stop()
 
 
 def without_length(data: bytes) -> bytes:
-    """A response without Content-Length, which ends with its connection."""
+    """Remove Content-Length from a response, which then ends when its connection closes."""
     head, _, body = data.partition(b"\r\n\r\n")
     lines = [line for line in head.split(b"\r\n") if not line.lower().startswith(b"content-length")]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def test_a_whole_list_that_comes_in_pieces_for_longer_than_a_call_may_be_silent_is_taken(
+def test_a_complete_list_that_arrives_piece_by_piece_is_used(
     tmp_path: Path,
 ) -> None:
-    """Each call was cut at 1 s, however much of its answer had come: the node was never ready."""
+    """Each call once timed out after 1 s while its response was still arriving: the node was never ready."""
 
     async def test() -> None:
-        server, source = Server(), TricklingRegistry()
-        async with node_to_start(source, server, tmp_path) as environment:
-            source.endpoints = [server.entry()]
+        server, agent = Server(), PiecewiseAgent()
+        async with unstarted_node(agent, server, tmp_path) as environment:
+            agent.endpoints = [server.entry()]
             await environment.start_node()
             await until(lambda: environment.node is not None and environment.node.is_ready())
-            assert source.accepted_connections == 1
+            assert agent.accepted_connections == 1
 
     run(test())
 
 
-def test_a_whole_list_with_no_length_ends_with_its_connection(tmp_path: Path) -> None:
-    """It was never read, and the node never ready."""
+def test_a_complete_list_without_a_length_ends_when_its_connection_closes(tmp_path: Path) -> None:
+    """Such a list was once never read, so the node was never ready."""
 
     async def test() -> None:
-        server, source = Server(), ScriptedDiscoveryAgent()
-        async with node_to_start(source, server, tmp_path) as environment:
-            source.faulty_responses = [
-                without_length(source.render_list([server.entry()], complete=True)) + CLOSE
+        server, agent = Server(), ScriptedDiscoveryAgent()
+        async with unstarted_node(agent, server, tmp_path) as environment:
+            agent.faulty_responses = [
+                without_length(agent.render_list([server.entry()], complete=True)) + CLOSE
             ]
             await environment.start_node()
-            await until(lambda: source.watches() > 0)
+            await until(lambda: agent.watches() > 0)
             assert environment.node is not None and environment.node._endpoints.in_service
 
     run(test())
 
 
-def test_an_answer_that_trickles_without_end_is_given_up(
+def test_a_response_that_never_ends_fails_after_the_maximum_call_duration(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(agent_link, "MAX_CALL_S", 1.5)
+    monkeypatch.setattr(agent_client, "MAX_CALL_S", 1.5)
 
     async def test() -> None:
-        server, source = Server(), TricklingRegistry()
-        await source.start()
+        server, agent = Server(), PiecewiseAgent()
+        await agent.start()
         async with node_environment(tmp_path, server) as environment:
             await until(lambda: environment.agent.watches() > 0)
             assert environment.node is not None
-            source.endpoints = [server.entry(name=f"s{number}" + "x" * 200) for number in range(50)]
-            monkeypatch.setattr("tests.test_slow_endpoint_lists.PIECES", 1000)
-            host, _, port = source.address.rpartition(":")
+            agent.endpoints = [server.entry(name=f"s{number}" + "x" * 200) for number in range(50)]
+            monkeypatch.setattr("tests.test_slow_endpoint_lists.PIECE_COUNT", 1000)
+            host, _, port = agent.address.rpartition(":")
             environment.node._discovery.change_address((host, int(port)))
-            await until(lambda: source.accepted_connections == 2)
-            assert (await environment.send_request("a")).status == 200  # by the list as it was
-        await source.stop()
+            await until(lambda: agent.accepted_connections == 2)
+            assert (await environment.send_request("a")).status == 200  # by the previous list
+        await agent.stop()
 
     run(test())
 
 
 def chunked(data: bytes) -> bytes:
-    """A response in the chunked transfer coding."""
+    """Convert a response to the chunked transfer coding."""
     head, _, body = without_length(data).partition(b"\r\n\r\n")
     pieces = [body[start : start + CHUNK_BYTES] for start in range(0, len(body), CHUNK_BYTES)]
     chunks = b"".join(b"%x\r\n%b\r\n" % (len(piece), piece) for piece in pieces)
     return head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
 
 
-class LateRegistry(ScriptedDiscoveryAgent):
-    """An agent that begins each answer well after the call's timeout."""
+class LateAgent(ScriptedDiscoveryAgent):
+    """A discovery agent whose responses begin well after the timeout of the call."""
 
     async def script(self, message: Message) -> bytes:
         await asyncio.sleep(RESPONSE_DELAY_S)
         return await super().script(message)
 
 
-def test_answers_that_begin_after_a_call_s_time_are_taken_and_watched_on_from(tmp_path: Path) -> None:
-    """Each call was given up, and the node was never ready."""
+def test_responses_that_begin_after_the_timeout_are_used_and_followed_by_watches(tmp_path: Path) -> None:
+    """Each such call was once abandoned, so the node was never ready."""
 
     async def test() -> None:
-        server, new, source = Server(), Server(name="new"), LateRegistry()
+        server, new, agent = Server(), Server(name="new"), LateAgent()
         await new.start()
-        async with node_to_start(source, server, tmp_path) as environment:
-            source.endpoints = [server.entry()]
+        async with unstarted_node(agent, server, tmp_path) as environment:
+            agent.endpoints = [server.entry()]
             await environment.start_node()
             await until(
                 lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
             )
-            source.publish(new.entry())
+            agent.publish(new.entry())
             await until(
                 lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 2
             )
-            assert source.accepted_connections <= 8
+            assert agent.accepted_connections <= 8
         await new.stop()
 
     run(test())
@@ -160,10 +160,10 @@
 
 INTERIM_RESPONSE = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
 FRAMINGS: dict[str, Callable[[bytes], bytes]] = {
-    "chunks": chunked,
-    "interim answers first": lambda data: INTERIM_RESPONSE + INTERIM_RESPONSE + data,
-    "an interim answer, then no length": lambda data: INTERIM_RESPONSE + without_length(data) + CLOSE,
-    "a length and a close": lambda data: data + CLOSE,
+    "chunked": chunked,
+    "interim responses first": lambda data: INTERIM_RESPONSE + INTERIM_RESPONSE + data,
+    "interim response, then no length": lambda data: INTERIM_RESPONSE + without_length(data) + CLOSE,
+    "length and close": lambda data: data + CLOSE,
     "HTTP/1.0 without a length": lambda data: without_length(data).replace(b"HTTP/1.1", b"HTTP/1.0") + CLOSE,
 }
 
@@ -171,27 +171,27 @@
 @pytest.mark.parametrize("frame", FRAMINGS.values(), ids=FRAMINGS.keys())
 def test_lists_are_read_in_every_framing(frame: Callable[[bytes], bytes], tmp_path: Path) -> None:
     async def test() -> None:
-        server, source = Server(), ScriptedDiscoveryAgent()
-        async with node_to_start(source, server, tmp_path) as environment:
-            source.faulty_responses = [frame(source.render_list([server.entry()], complete=True))]
+        server, agent = Server(), ScriptedDiscoveryAgent()
+        async with unstarted_node(agent, server, tmp_path) as environment:
+            agent.faulty_responses = [frame(agent.render_list([server.entry()], complete=True))]
             await environment.start_node()
-            await until(lambda: source.watches() > 0)
+            await until(lambda: agent.watches() > 0)
             assert environment.node is not None and environment.node._endpoints.in_service
 
     run(test())
 
 
-def test_a_reset_in_the_midst_of_a_list_with_no_length_is_no_end(tmp_path: Path) -> None:
-    """What came before it is a complete list by itself."""
+def test_a_reset_does_not_complete_a_list_without_a_length(tmp_path: Path) -> None:
+    """The data received before the reset is a complete list, but it may have been cut off."""
 
     async def test() -> None:
-        server, source = Server(), ScriptedDiscoveryAgent()
-        async with node_to_start(source, server, tmp_path) as environment:
-            source.faulty_responses = [
-                without_length(source.render_list([server.entry()], complete=True)) + RESET
+        server, agent = Server(), ScriptedDiscoveryAgent()
+        async with unstarted_node(agent, server, tmp_path) as environment:
+            agent.faulty_responses = [
+                without_length(agent.render_list([server.entry()], complete=True)) + RESET
             ]
             await environment.start_node()
-            await until(lambda: len(source.received) >= 2)
-            assert [seen.target for seen in source.received[:2]] == ["/api/targets"] * 2
+            await until(lambda: len(agent.received) >= 2)
+            assert [seen.target for seen in agent.received[:2]] == ["/api/targets"] * 2
 
     run(test())
--- a/tests/test_start_and_stop.py
+++ b/tests/test_start_and_stop.py
@@ -1,4 +1,4 @@
-"""The program from its start to its end: configurations that can't be used, and SIGTERM."""
+"""Tests of the program's start and shutdown: unusable configurations, and SIGTERM."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.program import Program, spawn
 
 
-def test_sigterm_finishes_what_is_held_and_exits_0(tmp_path: Path) -> None:
+def test_sigterm_answers_open_requests_and_exits_with_status_0(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         server.may_respond.clear()
@@ -56,7 +56,9 @@
         ),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_status_2(text: str | None, words: str, tmp_path: Path) -> None:
+def test_an_invalid_configuration_prints_one_line_and_exits_with_status_2(
+    text: str | None, words: str, tmp_path: Path
+) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         if text:
@@ -69,7 +71,7 @@
     run(test())
 
 
-def test_an_address_in_use_is_one_line_and_status_2(tmp_path: Path) -> None:
+def test_a_listen_address_in_use_prints_one_line_and_exits_with_status_2(tmp_path: Path) -> None:
     async def test() -> None:
         async with node_environment(tmp_path, start=False) as environment:
             environment.path.write_text(
--- a/tests/test_update_latency.py
+++ b/tests/test_update_latency.py
@@ -1,4 +1,4 @@
-"""Updates from discovery reach the node in time though calls fail, several in a row and in every way."""
+"""Tests that updates from discovery arrive in time even if several calls in a row fail in different ways."""
 
 from __future__ import annotations
 
@@ -16,12 +16,11 @@
 
 from tests.peers import Server, node_environment, read_message, render_response, run, until
 from workspond import node
-from workspond.discovery import agent_client as agent_link
-from workspond.discovery import watcher as discovery
+from workspond.discovery import agent_client, watcher
 from workspond.policy.subscription_backoff import MAX_SUBSCRIPTION_BACKOFF_MS
 
-MAX_LATENCY_MS = 6000.0  # after discovery had it and could be reached, an update counts as received
-MAX_RELOAD_LATENCY_MS = 4000.0  # after SIGHUP, the list of the new agent counts as received
+MAX_LATENCY_MS = 6000.0  # from when an update is available from a reachable agent
+MAX_RELOAD_LATENCY_MS = 4000.0  # from SIGHUP until the list of the new agent has been received
 MARGIN_MS = 200.0
 
 
@@ -29,26 +28,28 @@
     """A way in which calls to discovery fail."""
 
     CONNECTION_REFUSED = "refused"
-    CONNECTION_HANGS = "a dial that hangs"
+    CONNECTION_HANGS = "connection attempt hangs"
     RESET = "reset while waiting"
-    SILENT = "silent"
-    HALF_THEN_SILENT = "half an answer, then silence"
-    HALF_THEN_CLOSED = "half an answer, then its end"
+    SILENT = "no response"
+    HALF_THEN_SILENT = "half a response, then nothing"
+    HALF_THEN_CLOSED = "half a response, then close"
     STATUS_500 = "status 500"
 
 
-def test_the_longest_sum_of_waits_is_within_the_time_after_which_news_counts_as_told() -> None:
-    """It was 8.75 s with three silent calls in a row, where the node makes the calls on request."""
-    pushed_ms, asked_ms = node.RESUBSCRIBE_DELAY_S * 1000.0, MAX_SUBSCRIPTION_BACKOFF_MS
-    assert discovery.MAX_CONSECUTIVE_FAILURES >= 3
-    for pause_ms in (pushed_ms, asked_ms):
-        assert discovery.max_update_latency_ms(pause_ms) < MAX_LATENCY_MS - MARGIN_MS
-        after_reload_ms = 2 * (discovery.POLL_TIMEOUT_MS + pause_ms) + agent_link.CONNECT_TIMEOUT_S * 1000.0
+def test_the_maximum_update_latency_is_within_its_limit() -> None:
+    """It was once 8.75 s after three unanswered calls in a row in the mode `on_request`."""
+    pushed_delay_ms, on_request_delay_ms = node.RESUBSCRIBE_DELAY_S * 1000.0, MAX_SUBSCRIPTION_BACKOFF_MS
+    assert watcher.MAX_CONSECUTIVE_FAILURES >= 3
+    for retry_delay_ms in (pushed_delay_ms, on_request_delay_ms):
+        assert watcher.max_update_latency_ms(retry_delay_ms) < MAX_LATENCY_MS - MARGIN_MS
+        after_reload_ms = 2 * (watcher.POLL_TIMEOUT_MS + retry_delay_ms) + (
+            agent_client.CONNECT_TIMEOUT_S * 1000.0
+        )
         assert after_reload_ms < MAX_RELOAD_LATENCY_MS - MARGIN_MS
 
 
 class FailingAgent:
-    """A discovery agent on raw sockets; while `failure` is set, its calls fail in that way.
+    """A discovery agent on raw sockets. While `failure` is set, calls to it fail in that way.
 
     Otherwise it answers polls at once, and watches only if there is an endpoint to report.
     """
@@ -62,12 +63,12 @@
         self._queue_filler: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
-        self.fail_by(None)
+        self.set_failure(None)
 
-    def fail_by(self, failure: Failure | None) -> None:
-        """Let calls fail in this way from now on.
+    def set_failure(self, failure: Failure | None) -> None:
+        """Make calls fail in this way from now on; None lets them succeed.
 
-        The event loop does not run meanwhile, so no call slips through.
+        The event loop does not run during the change, so no call can arrive in between.
         """
         self.failure = failure
         self._stop_listening()
@@ -77,7 +78,7 @@
         self._listener = socket.create_server(("127.0.0.1", self.port), backlog=0 if hangs else 16)
         self.port = self._listener.getsockname()[1]
         if hangs:
-            # The queue of this listener is full with one connection, so the next handshake hangs.
+            # One connection fills the backlog of this listener, so the next handshake hangs.
             self._queue_filler = socket.create_connection(("127.0.0.1", self.port))
             return
         self._listener.setblocking(False)
@@ -138,9 +139,9 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection by a reset."""
-    linger_for_no_time = struct.pack("ii", 1, 0)
-    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_for_no_time)
+    """Reset a connection."""
+    zero_linger = struct.pack("ii", 1, 0)
+    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
     writer.close()
 
 
@@ -172,15 +173,15 @@
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @pytest.mark.parametrize("failures", CASES, ids=case_name)
-def test_news_comes_with_the_first_call_that_succeeds(
+def test_an_update_arrives_with_the_first_call_that_succeeds(
     failures: tuple[Failure, ...], mode: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each of the failures costs one call and one wait, so that the longest sum of waits holds.
+    """Each failure costs exactly one call and one delay, as `max_update_latency_ms` assumes.
 
-    (Passed before the sum was cut.) The waits are cut so that the test is short; it counts calls, not time.
+    The test counts calls, not time. Timeouts are shortened to keep it short.
     """
-    monkeypatch.setattr(discovery, "WATCH_MS", 300)
-    monkeypatch.setattr(agent_link, "CONNECT_TIMEOUT_S", 0.4)
+    monkeypatch.setattr(watcher, "WATCH_MS", 300)
+    monkeypatch.setattr(agent_client, "CONNECT_TIMEOUT_S", 0.4)
 
     async def test() -> None:
         new = Server(name="new")
@@ -190,21 +191,21 @@
             node_environment(tmp_path, Server(), membership_mode=mode) as environment,
         ):
             assert environment.node is not None
-            watcher = environment.node._discovery
-            on_failure = watcher._listener.discovery_call_failed
+            endpoint_watcher = environment.node._discovery
+            on_failure = endpoint_watcher._listener.discovery_call_failed
             reasons: list[str] = []
-            failures_to_come = list(failures)
+            remaining_failures = list(failures)
 
             def discovery_call_failed(reason: str) -> None:
                 reasons.append(reason)
-                agent.fail_by(failures_to_come.pop(0) if failures_to_come else None)
+                agent.set_failure(remaining_failures.pop(0) if remaining_failures else None)
                 on_failure(reason)
 
-            watcher.change_address(("127.0.0.1", agent.port))
+            endpoint_watcher.change_address(("127.0.0.1", agent.port))
             await until(lambda: agent.requests_received == 2)  # a poll and a watch
-            monkeypatch.setattr(watcher._listener, "discovery_call_failed", discovery_call_failed)
-            agent.endpoints.append(new.entry())  # from now on discovery has the update
-            agent.reset_connections()  # the first failure, before those named: the watch breaks
+            monkeypatch.setattr(endpoint_watcher._listener, "discovery_call_failed", discovery_call_failed)
+            agent.endpoints.append(new.entry())  # the update is available from now on
+            agent.reset_connections()  # the watch fails first, before the given failures
             await until(
                 lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
             )
