--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -14,7 +14,7 @@
 from workspond.discovery.incarnations import IncarnationTracker
 
 HOUR_S = 3600.0
-UPTIME_S = 600.0  # of all servers
+UPTIME_S = 600.0  # how long each server has been running
 SERVER_COUNT = 6
 
 
@@ -59,7 +59,7 @@
 def test_after_a_wall_clock_step_old_servers_have_full_capacity_and_restarted_ones_warm_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Servers once counted as warming up after a step back, and got full load too early after a step forward."""
+    """Servers once counted as warming up after a step back; after a step forward a new one got full load."""
 
     async def test(step_s: float) -> None:
         clock = WallClock(monkeypatch)
--- a/workspond/__init__.py
+++ b/workspond/__init__.py
@@ -1,1 +1,1 @@
-"""A load-balancing node for services that call services, with delay-controlled retries."""
+"""A load-balancing node for requests between services, with delay-controlled retries."""
--- a/workspond/address.py
+++ b/workspond/address.py
@@ -8,8 +8,8 @@
 
 Address = tuple[str, int]
 
-# Only hosts that the resolver accepts: for other texts it raises errors that are not an OSError, unlike for
-# hosts that can't be reached.
+# Matches only hosts that the resolver accepts. For other texts it raises exceptions other than OSError, the
+# one that callers handle for hosts that can't be reached.
 HOST_PATTERN = re.compile(r"\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9_-]{1,63}(\.[A-Za-z0-9_-]{1,63})*\.?")
 PORT_PATTERN = re.compile("[0-9]{1,5}")
 MAX_PORT = 65535
--- a/workspond/descriptor_limits.py
+++ b/workspond/descriptor_limits.py
@@ -25,5 +25,5 @@
 
 
 def available_descriptors(descriptor_limit: int, client_connections: int, server_connections: int) -> int:
-    """Return how many new connections to servers may be opened; the number may be negative."""
+    """Return how many descriptors are left for new connections to servers; the number may be negative."""
     return descriptor_limit - RESERVED_DESCRIPTORS - client_connections - server_connections
--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -16,7 +16,10 @@
 """A call fails if its response has begun and nothing more of it arrives for this time."""
 
 MAX_CALL_S = 15.0
-"""The maximum duration of a call, even if its response keeps arriving. Two such calls fit into a start."""
+"""The maximum duration of a call, even if its response keeps arriving.
+
+Two such calls fit into the time that a starting node has to become ready.
+"""
 
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 """The maximum size of a response, including its head."""
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -115,7 +115,7 @@
         self._discovery.change_address(config.discovery)
 
     async def stop(self, min_serving_s: float = MIN_SERVING_S) -> None:
-        """Shut down gracefully: keep serving for at least this time, answer all requests, and close."""
+        """Shut down gracefully: keep serving for at least `min_serving_s`, answer all requests, and close."""
         await self._shutdown.run(min_serving_s)
         self._discovery.close()
         self.counters.log_summary()
@@ -148,7 +148,7 @@
         self._update_endpoints(endpoints, kind)
 
     def discovery_call_failed(self, reason: str) -> None:
-        """Count and log a failed discovery call, and schedule the next one."""
+        """Count and log a failed discovery call, and arrange for the next one."""
         if not self._first_discovery_call_ended:
             self._first_discovery_call_ended = True
             # The node is expected to use the agent's list from its first moment, and the cached list may be
--- a/workspond/request_registry.py
+++ b/workspond/request_registry.py
@@ -24,7 +24,7 @@
 # request and the time to send the response.
 DEADLINE_MARGIN_MS = 10.0
 # A deadline timer that fired early is set again for this long after the deadline.
-TIMER_SLACK_S = 0.001
+EARLY_TIMER_DELAY_S = 0.001
 
 log = logging.getLogger("workspond")
 
@@ -128,7 +128,7 @@
         # The event loop's clock may run ahead of `now_ms`, and a request must not fail before its deadline.
         if remaining_ms > 0.0:
             request.deadline_timer = self._loop.call_later(
-                remaining_ms / 1000.0 + TIMER_SLACK_S, self._deadline_timer_fired, request
+                remaining_ms / 1000.0 + EARLY_TIMER_DELAY_S, self._deadline_timer_fired, request
             )
         else:
             self._fail_at_deadline(request)
