--- a/tests/test_agent_client.py
+++ b/tests/test_agent_client.py
@@ -65,8 +65,8 @@
                 assert client.is_busy
                 await owner.wait_for_responses(count)
             assert owner.responses == [(200, b"one"), (404, b"two"), (200, b"three")]
-            assert [seen.target for seen in agent.received] == ["/1", "/2", "/3"]
-            assert [seen.connection for seen in agent.received] == [1, 1, 2]
+            assert [message.target for message in agent.received] == ["/1", "/2", "/3"]
+            assert [message.connection for message in agent.received] == [1, 1, 2]
             assert not owner.failures
 
     run(test())
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -45,11 +45,11 @@
                 client.write(request("late", budget=str(BUDGET_S)))
                 await until(lambda: len(node._upstream._connecting) == 1)
                 reader, writer = await asyncio.open_connection(sock=await stalled.accept())
-                seen = await read_message(reader)
+                message = await read_message(reader)
                 remaining_s = remaining_time_s(sent_at_s)
                 writer.close()
-                assert seen is not None and remaining_s < BUDGET_S - 0.5
-                assert float(seen.headers["x-budget"]) <= remaining_s + TOLERANCE_S
+                assert message is not None and remaining_s < BUDGET_S - 0.5
+                assert float(message.headers["x-budget"]) <= remaining_s + TOLERANCE_S
 
     run(test())
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -86,7 +86,7 @@
                 await until(lambda: environment.agent.watches() == 3)
                 with await stalled.accept() as connection:
                     assert (await response).body == b"done"
-                    assert [seen.request_id for seen in stays.received] == ["a"]
+                    assert [message.request_id for message in stays.received] == ["a"]
                     assert has_received_nothing(connection)
         await stays.stop()
 
@@ -100,7 +100,7 @@
             for request_id in "abc":
                 assert (await environment.send_request(request_id, "pay")).status == 200
                 await until(lambda: server.closed_connections == server.accepted_connections)
-            assert [seen.request_id for seen in server.received] == list("abc")
+            assert [message.request_id for message in server.received] == list("abc")
 
     run(test())
 
@@ -134,10 +134,10 @@
 def stated_budgets_s(servers: list[Server], request_id: str) -> list[float]:
     """Return the values of X-Budget in the attempts of a request that the servers received."""
     return [
-        float(seen.headers["x-budget"])
+        float(message.headers["x-budget"])
         for server in servers
-        for seen in server.received
-        if seen.request_id == request_id
+        for message in server.received
+        if message.request_id == request_id
     ]
 
 
@@ -204,9 +204,11 @@
         server = Server()
         permissions = {"retry_after": allowed, "max_retry_after_ms": 500.0}
         async with node_environment(tmp_path, server, permissions=permissions) as environment:
-            reply = await environment.send_request("a", "pay", budget="0.001")  # no time left for an attempt
-            assert reply.status == 503 and not server.received
-            header = reply.headers.get("retry-after")
+            response = await environment.send_request(
+                "a", "pay", budget="0.001"
+            )  # no time left for an attempt
+            assert response.status == 503 and not server.received
+            header = response.headers.get("retry-after")
             assert retry_after_s == (None if header is None else float(header))
 
     run(test())
--- a/tests/test_node_abandoned_requests.py
+++ b/tests/test_node_abandoned_requests.py
@@ -25,7 +25,7 @@
             await until(lambda: not node._requests.active)
             server.may_respond.set()
             assert (await environment.send_request("a")).status == 200  # the id may be used again
-            assert [seen.request_id for seen in server.received] == ["a", "a"]  # not retried
+            assert [message.request_id for message in server.received] == ["a", "a"]  # not retried
             assert node._balancer.in_flight == 0
 
     run(test())
@@ -89,6 +89,6 @@
             server.may_respond.set()
             await until(lambda: environment.node is not None and not environment.node._attempts.in_flight)
             assert (await environment.send_request("c")).status == 200
-            assert [seen.request_id for seen in server.received] == ["a", "c"]
+            assert [message.request_id for message in server.received] == ["a", "c"]
 
     run(test())
--- a/tests/test_node_client_input.py
+++ b/tests/test_node_client_input.py
@@ -81,7 +81,7 @@
             assert (await invalid_client.read()).status == status
             server.may_respond.set()
             assert (await valid_client.read()).status == 200
-            assert [seen.request_id for seen in server.received] == ["other"]
+            assert [message.request_id for message in server.received] == ["other"]
 
     run(test())
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -47,7 +47,7 @@
             environment.agent.publish(other.entry(), snapshot=True)
             await until(lambda: len(environment.agent.received) >= 3)
             assert (await environment.send_request("c")).status == 200
-            assert [seen.request_id for seen in other.received] == ["c"]
+            assert [message.request_id for message in other.received] == ["c"]
         await other.stop()
 
     run(test())
@@ -60,7 +60,7 @@
             await until(lambda: environment.agent.watches() == 1)
             environment.agent.publish(index=0)
             await until(lambda: environment.agent.watches() == 2)
-            assert [seen.target.partition("&")[0] for seen in environment.agent.received] == [
+            assert [message.target.partition("&")[0] for message in environment.agent.received] == [
                 "/api/targets",
                 "/api/targets?index=1",
                 "/api/targets",
@@ -78,9 +78,9 @@
             for _ in range(3):
                 environment.agent.publish(server.entry())
             await until(lambda: environment.agent.watches() == 4)
-            assert [seen.target.partition("&")[0][-1] for seen in environment.agent.received[1:]] == list(
-                "1234"
-            )
+            assert [
+                message.target.partition("&")[0][-1] for message in environment.agent.received[1:]
+            ] == list("1234")
             assert environment.agent.accepted_connections == 1
 
     run(test())
@@ -155,7 +155,7 @@
             environment.agent.may_respond.set()
             assert (await waiting_client.read()).status == 200
             assert (await other_client.get("/-/ready")).status == 200
-            assert [seen.request_id for seen in new.received] == ["a"] and not old.received
+            assert [message.request_id for message in new.received] == ["a"] and not old.received
         await new.stop()
 
     run(test())
@@ -172,11 +172,11 @@
                 lambda: environment.node is not None and len(environment.node._endpoints.in_service) == 1
             )
             assert (await environment.send_request("a")).status == 200
-            assert [seen.request_id for seen in old.received] == ["a"]
+            assert [message.request_id for message in old.received] == ["a"]
             environment.agent.endpoints = [new.entry()]
             await until(lambda: environment.agent.watches() == 1)
             assert (await environment.send_request("b")).status == 200
-            assert [seen.request_id for seen in new.received] == ["b"]
+            assert [message.request_id for message in new.received] == ["b"]
         await new.stop()
 
     run(test())
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -59,7 +59,7 @@
             assert (
                 await environment.send_request("b", "pay")
             ).body == b"done"  # no data of the first response reaches the next one
-            assert [seen.request_id for seen in server.received] == ["a", "b"]
+            assert [message.request_id for message in server.received] == ["a", "b"]
 
     run(test())
 
@@ -70,7 +70,7 @@
         server = Server(rejection)
         async with node_environment(tmp_path, server) as environment:
             assert (await environment.send_request("a", "pay")).body == b"done"
-            assert [seen.request_id for seen in server.received] == ["a", "a"]
+            assert [message.request_id for message in server.received] == ["a", "a"]
 
     run(test())
 
@@ -82,7 +82,7 @@
             await down.stop()
             for n in range(6):  # round robin also selects the server that is down
                 assert (await environment.send_request(f"{n}", "pay")).body == b"done"
-            assert sorted(seen.request_id for seen in up.received) == [f"{n}" for n in range(6)]
+            assert sorted(message.request_id for message in up.received) == [f"{n}" for n in range(6)]
 
     run(test())
 
@@ -110,7 +110,7 @@
                 b"three",
                 b"done",
             ]
-            assert [seen.connection for seen in server.received] == [1, 2, 3]
+            assert [message.connection for message in server.received] == [1, 2, 3]
 
     run(test())
 
@@ -123,7 +123,7 @@
         async with node_environment(tmp_path, server) as environment:
             assert (await environment.send_request("a")).body == body
             assert (await environment.send_request("b")).body == b"abcde"
-            assert [seen.connection for seen in server.received] == [1, 1]
+            assert [message.connection for message in server.received] == [1, 1]
 
     run(test())
 
@@ -135,11 +135,11 @@
             await environment.send_request(
                 "a", "save", body=b"x" * 65536, query="?obj=7f&z=%2F", extra="X-Other: 1\r\n"
             )
-            [seen] = server.received
-            assert seen.start_line == "POST /save?obj=7f&z=%2F HTTP/1.1"
-            assert (seen.request_id, seen.headers["idempotency-key"]) == ("a", "key-a")
-            assert seen.body == b"x" * 65536
-            assert 0.0 < float(seen.headers["x-budget"]) < 20.0
+            [message] = server.received
+            assert message.start_line == "POST /save?obj=7f&z=%2F HTTP/1.1"
+            assert (message.request_id, message.headers["idempotency-key"]) == ("a", "key-a")
+            assert message.body == b"x" * 65536
+            assert 0.0 < float(message.headers["x-budget"]) < 20.0
 
     run(test())
 
@@ -158,7 +158,7 @@
                 ("e", "save"),
             ):
                 assert (await environment.send_request(request_id, class_name)).status == 200
-            assert [seen.connection for seen in server.received] == [1, 2, 3, 3, 3]
+            assert [message.connection for message in server.received] == [1, 2, 3, 3, 3]
             assert environment.node is not None and environment.node._upstream.connection_count() == 1
             await until(lambda: server.closed_connections == 2)
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -67,12 +67,12 @@
             program.process.send_signal(signal.SIGHUP)
             await until(lambda: len(other.received) == 2)
             watch = f"/api/targets?index=1&wait={watcher.WATCH_MS}"
-            assert [seen.target for seen in other.received] == ["/api/targets", watch]
+            assert [message.target for message in other.received] == ["/api/targets", watch]
 
             old.may_respond.set()
             assert (await client.read()).status == 200
             assert (await client.send_request("next")).status == 200  # on the same connection
-            assert [seen.request_id for seen in new.received] == ["next"]
+            assert [message.request_id for message in new.received] == ["next"]
 
             write_config(environment, environment.agent)  # back to the first agent
             program.process.send_signal(signal.SIGHUP)
@@ -105,7 +105,7 @@
                 environment.node._discovery.change_address((host, int(port)))
                 await until(lambda: len(other.received) == 3)
             assert (await environment.send_request("b")).status == 200
-            assert [seen.request_id for seen in new.received] == ["b"]
+            assert [message.request_id for message in new.received] == ["b"]
         await new.stop()
         await other.stop()
 
--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -192,6 +192,6 @@
             ]
             await environment.start_node()
             await until(lambda: len(agent.received) >= 2)
-            assert [seen.target for seen in agent.received[:2]] == ["/api/targets"] * 2
+            assert [message.target for message in agent.received[:2]] == ["/api/targets"] * 2
 
     run(test())
