--- a/workspond/config.py
+++ b/workspond/config.py
@@ -1,4 +1,4 @@
-"""The node's configuration: the JSON file that NODE_CONFIG names, as typed values."""
+"""The node's configuration, read from the JSON file that NODE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 from workspond.address import Address, parse_address
 from workspond.discovery.endpoint_list import EndpointList, read_endpoint_list
-from workspond.json_fields import Json, MalformedInputError, get, optional
+from workspond.json_fields import Json, MalformedInputError, optional_field, required_field
 from workspond.policy.settings import Settings
 from workspond.settings_reader import read_settings
 
-DEFAULT_MAX_DESCRIPTORS = 1024  # where the file sets no limit
+DEFAULT_MAX_DESCRIPTORS = 1024  # used if the file sets no limit
 HEX_DIGITS = re.compile("[0-9a-fA-F]+")
 
 
 class InvalidConfigError(Exception):
-    """A configuration that no node can be started with."""
+    """The configuration can't be used."""
 
 
 class UnreadableConfigError(InvalidConfigError):
-    """A configuration whose file can't be opened or read now; later it may be."""
+    """The configuration file can't be opened or read now; a later attempt may succeed."""
 
 
 @dataclass(slots=True)
 class Config:
-    """The configuration that a node starts with.
+    """The configuration of a node.
 
     Attributes:
         name: The node's name, for its log.
-        listen: Where the node accepts clients.
-        discovery: Where the discovery agent is called.
+        listen: The address at which the node accepts clients.
+        discovery: The address of the discovery agent.
         seed: The seed of the node's random numbers.
-        max_descriptors: How many file descriptors the node may hold.
-        cached_endpoints: The endpoint list as the node last had it, perhaps long ago.
+        max_descriptors: The maximum number of file descriptors that the node may have open.
+        cached_endpoints: The last endpoint list that the node had; it may be out of date.
         settings: The settings of the load-balancing policy.
     """
 
@@ -52,7 +52,7 @@
 
     Raises:
         UnreadableConfigError: If the file can't be opened or read now.
-        InvalidConfigError: If its contents are no configuration; the text is one line that says why.
+        InvalidConfigError: If it is not a valid configuration; the message is a single line.
     """
     try:
         return _read_fields(_load_object(path))
@@ -74,20 +74,20 @@
 
 
 def _read_fields(fields: Json) -> Config:
-    limits = optional(fields, "limits", dict, {})
+    limits = optional_field(fields, "limits", dict, {})
     return Config(
-        name=get(fields, "name", str),
-        listen=parse_address(get(fields, "listen", str)),
-        discovery=parse_address(get(fields, "discovery", str)),
+        name=required_field(fields, "name", str),
+        listen=parse_address(required_field(fields, "listen", str)),
+        discovery=parse_address(required_field(fields, "discovery", str)),
         seed=_read_seed(fields),
-        max_descriptors=optional(limits, "sockets", int, DEFAULT_MAX_DESCRIPTORS),
+        max_descriptors=optional_field(limits, "sockets", int, DEFAULT_MAX_DESCRIPTORS),
         cached_endpoints=_read_cached_endpoints(fields),
-        settings=read_settings(get(fields, "settings", dict)),
+        settings=read_settings(required_field(fields, "settings", dict)),
     )
 
 
 def _read_seed(fields: Json) -> int:
-    text = get(fields, "seed", str)
+    text = required_field(fields, "seed", str)
     if not HEX_DIGITS.fullmatch(text):
         raise MalformedInputError(f"'seed' must be hex digits, not {text!r:.60}")
     return int(text, 16)
@@ -95,4 +95,4 @@
 
 def _read_cached_endpoints(fields: Json) -> EndpointList:
     empty_list: Json = {"index": 0, "snapshot": True, "endpoints": []}
-    return read_endpoint_list(optional(fields, "known", dict, empty_list))
+    return read_endpoint_list(optional_field(fields, "known", dict, empty_list))
--- a/workspond/json_fields.py
+++ b/workspond/json_fields.py
@@ -17,7 +17,8 @@
     dict: "an object",
     list: "an array",
 }
-# Limit of integers: Python reads any number of digits, but arithmetic with a float fails for a huge one.
+# JSON integers may have any size in Python, but arithmetic between a huge one and a float raises
+# OverflowError.
 MAX_INTEGER = 2**128
 
 
@@ -25,8 +26,8 @@
     """Input does not have the expected form."""
 
 
-def get(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
-    """Return the value of a key.
+def required_field(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
+    """Return the value of a required key.
 
     Args:
         obj: The object.
@@ -34,7 +35,7 @@
         kind: The type of the value, one of those in `TYPE_NAMES`.
 
     Raises:
-        MalformedInputError: The key is missing, or its value has another type, is not finite or too large.
+        MalformedInputError: The key is missing, or its value has another type, is not finite or is too large.
     """
     try:
         value = obj[key]
@@ -45,46 +46,46 @@
     if isinstance(value, float) and not math.isfinite(value):
         raise MalformedInputError(f"{key!r} must be a finite number, not {value!r}")
     if isinstance(value, int) and abs(value) > MAX_INTEGER:
-        raise MalformedInputError(f"{key!r} is too large: {value!r:.60}")
+        raise MalformedInputError(
+            f"{key!r} is too large: must be at most 2**128 in absolute value, is {value!r:.60}"
+        )
     return value
 
 
-def optional(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
-    """Return the value of a key as `get` does, or the default if the key is missing or null.
+def optional_field(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
+    """Return the value of a key as `required_field` does, or the default if the key is missing or null.
 
     Raises:
-        MalformedInputError: The value is not as `get` expects it.
+        MalformedInputError: The value is not as `required_field` expects it.
     """
-    return default if obj.get(key) is None else get(obj, key, kind)
+    return default if obj.get(key) is None else required_field(obj, key, kind)
 
 
-def choice(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
-    """Return what the value of a key stands for.
+def choice_field(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
+    """Return the Python value that the value of a key stands for.
 
     Args:
         obj: The object.
         key: The key.
-        choices: The allowed values, and what they stand for.
+        choices: The allowed values, each with the value that it stands for.
         kind: The type of the value, one of those in `TYPE_NAMES`.
 
     Raises:
         MalformedInputError: The key is missing, or its value is not allowed.
     """
-    value = get(obj, key, kind)
+    value = required_field(obj, key, kind)
     if value not in choices:
-        raise MalformedInputError(
-            f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, choices))}"
-        )
+        raise MalformedInputError(f"{key!r} must be one of {', '.join(map(str, choices))}, not {value!r:.60}")
     return choices[value]
 
 
-def objects(obj: Json, key: str) -> list[Json]:
-    """Return the value of a key that holds an array of objects.
+def object_list_field(obj: Json, key: str) -> list[Json]:
+    """Return the value of a required key that holds an array of objects.
 
     Raises:
         MalformedInputError: The key is missing, or its value is not an array of objects.
     """
-    values: list[Json] = get(obj, key, list)
+    values: list[Json] = required_field(obj, key, list)
     for index, value in enumerate(values):
         if not isinstance(value, dict):
             raise MalformedInputError(f"{key}[{index}] must be an object, not {value!r:.60}")
--- a/workspond/simulator_adapter.py
+++ b/workspond/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Hosts one `Balancer` per simulated node and speaks the simulator's wire.
+"""Connects the policy to the simulator: runs one `Balancer` per simulated node.
 
-Each line on standard input is a JSON batch of events, each line on standard output the JSON reply with the
-actions. docs/glossary.md lists how the words of the wire are translated. Malformed input ends the process
-with one line on standard error and exit status 2.
+Each line on standard input is a JSON batch of events, and each line on standard output is the JSON reply with
+the actions. docs/glossary.md lists the names on the wire and the corresponding names in the code. Malformed
+input ends the process with one line on standard error and exit status 2.
 """
 
 from __future__ import annotations
@@ -13,7 +13,15 @@
 from dataclasses import dataclass, field
 from typing import TextIO
 
-from workspond.json_fields import NUMBER, Json, MalformedInputError, choice, get, objects, optional
+from workspond.json_fields import (
+    NUMBER,
+    Json,
+    MalformedInputError,
+    choice_field,
+    object_list_field,
+    optional_field,
+    required_field,
+)
 from workspond.policy.actions import (
     CancelAttempt,
     CloseIdleConnections,
@@ -62,67 +70,71 @@
     306: Outcome.CANCELLED,
     307: Outcome.NOT_SENT,
 }
-NO_TENANT = 0  # the owner of a request where there are no tenants
-# The node does not talk to its peers, and makes no health checks.
-IGNORED_KINDS = {"NeighbourSays", "StatusBack"}
+NO_TENANT = 0  # `owner` of a request if the deployment has no tenants
+# Messages from other nodes and results of health checks: the policy uses neither.
+IGNORED_EVENT_KINDS = {"NeighbourSays", "StatusBack"}
 
 
 def _read_endpoint(entry: Json) -> Endpoint:
     return Endpoint(
-        server_id=get(entry, "server", int),
-        zone=optional(entry, "failure_domain", str, ""),
-        machine_type=optional(entry, "sku", str, ""),
-        cell=optional(entry, "group", int, 0),
-        state=choice(entry, "health", ENDPOINT_STATES),
-        weight=optional(entry, "share", NUMBER, 1.0),
-        started_at_ms=optional(entry, "boot_time_ms", NUMBER, 0.0) or None,
+        server_id=required_field(entry, "server", int),
+        zone=optional_field(entry, "failure_domain", str, ""),
+        machine_type=optional_field(entry, "sku", str, ""),
+        cell=optional_field(entry, "group", int, 0),
+        state=choice_field(entry, "health", ENDPOINT_STATES),
+        weight=optional_field(entry, "share", NUMBER, 1.0),
+        started_at_ms=optional_field(entry, "boot_time_ms", NUMBER, 0.0) or None,
     )
 
 
 def _read_request(item: Json) -> RequestReceived:
     return RequestReceived(
-        request_id=get(item, "request_id", str),
-        class_name=get(item, "type", str),
-        ttl_ms=get(item, "ttl_ms", NUMBER),
-        tenant=None if item.get("owner") == NO_TENANT else optional(item, "owner", str, None),
-        is_client_retry=optional(item, "again_by_client", bool, False),
+        request_id=required_field(item, "request_id", str),
+        class_name=required_field(item, "type", str),
+        ttl_ms=required_field(item, "ttl_ms", NUMBER),
+        tenant=None if item.get("owner") == NO_TENANT else optional_field(item, "owner", str, None),
+        is_client_retry=optional_field(item, "again_by_client", bool, False),
     )
 
 
 def _read_attempt_ended(item: Json) -> AttemptEnded:
     return AttemptEnded(
-        request_id=get(item, "request_id", str),
-        attempt_number=get(item, "send_no", int),
-        server_id=get(item, "server", int),
-        outcome=choice(item, "disposition", OUTCOMES, int),
-        duration_ms=get(item, "duration_ms", NUMBER),
-        request_finished=get(item, "settled", bool),
+        request_id=required_field(item, "request_id", str),
+        attempt_number=required_field(item, "send_no", int),
+        server_id=required_field(item, "server", int),
+        outcome=choice_field(item, "disposition", OUTCOMES, int),
+        duration_ms=required_field(item, "duration_ms", NUMBER),
+        request_finished=required_field(item, "settled", bool),
         load_report=_read_load_report(item),
     )
 
 
 def _read_load_report(item: Json) -> dict[str, float] | None:
-    """Read a load report; absent values are left out, negative ones count as 0, as the reports are noisy."""
-    report = optional(item, "report", dict, None)
+    """Read a load report without its null values; noise can make a value negative, which counts as 0."""
+    report = optional_field(item, "report", dict, None)
     if report is None:
         return None
-    return {name: max(0.0, get(report, name, NUMBER)) for name, value in report.items() if value is not None}
+    return {
+        name: max(0.0, required_field(report, name, NUMBER))
+        for name, value in report.items()
+        if value is not None
+    }
 
 
 def _read_stream_started(item: Json) -> StreamStarted:
     return StreamStarted(
-        request_id=get(item, "request_id", str),
-        attempt_number=get(item, "send_no", int),
-        server_id=get(item, "server", int),
+        request_id=required_field(item, "request_id", str),
+        attempt_number=required_field(item, "send_no", int),
+        server_id=required_field(item, "server", int),
     )
 
 
 def _read_timer_fired(item: Json) -> TimerFired:
-    return TimerFired(get(item, "nonce", int))
+    return TimerFired(required_field(item, "nonce", int))
 
 
 def _read_request_abandoned(item: Json) -> RequestAbandoned:
-    return RequestAbandoned(get(item, "request_id", str))
+    return RequestAbandoned(required_field(item, "request_id", str))
 
 
 EVENT_READERS: dict[str, Callable[[Json], PolicyEvent]] = {
@@ -139,9 +151,9 @@
     """How an action is written to the wire.
 
     Attributes:
-        kind: The word of the wire for the action.
-        fields: The keys of the wire, each with the attribute of the action that it holds.
-        constants: Keys that always hold the same value.
+        kind: The name of the action on the wire.
+        fields: The keys on the wire, each with the attribute of the action that is its value.
+        constants: The keys whose value is always the same.
     """
 
     kind: str
@@ -169,23 +181,23 @@
     return {"kind": action_format.kind, "node": node, **fields, **action_format.constants}
 
 
-class Host:
-    """All simulated nodes of one process. They are independent; only the pages of endpoints are shared."""
+class SimulatedNodes:
+    """The simulated nodes of one process. They are independent and share only the pages of endpoints."""
 
     def __init__(self) -> None:
-        self._balancers: dict[str, Balancer] = {}  # by the name of the node
-        self._pages: dict[int, list[Endpoint]] = {}  # lists of endpoints that updates refer to, by number
+        self._balancers: dict[str, Balancer] = {}  # by node name
+        self._pages: dict[int, list[Endpoint]] = {}  # endpoint lists by number; updates refer to them
 
-    def batch(self, message: Json) -> Json:
+    def handle_batch(self, message: Json) -> Json:
         """Handle one batch of events and return the reply.
 
         Raises:
-            MalformedInputError: The batch does not follow the wire.
+            MalformedInputError: The batch does not follow the wire format.
         """
-        now_ms: float = get(message, "ts_ms", NUMBER)
-        batch_number = get(message, "round", int)
+        now_ms: float = required_field(message, "ts_ms", NUMBER)
+        batch_number = required_field(message, "round", int)
         actions: list[Json] = []
-        for index, item in enumerate(objects(message, "items")):
+        for index, item in enumerate(object_list_field(message, "items")):
             try:
                 actions += self._handle_item(item, now_ms)
             except MalformedInputError as error:
@@ -193,11 +205,11 @@
         return {"round": batch_number, "actions": actions}
 
     def _handle_item(self, item: Json, now_ms: float) -> list[Json]:
-        kind = get(item, "kind", str)
+        kind = required_field(item, "kind", str)
         if kind == "Page":
             self._read_page(item)
             return []
-        node = get(item, "node", str)
+        node = required_field(item, "node", str)
         if kind == "Launch":
             self._balancers[node] = self._launch(item)
             return self._handle_event(node, NodeStarted(), now_ms)
@@ -206,7 +218,7 @@
         if kind == "PowerOff":
             del self._balancers[node]
             return []
-        if kind in IGNORED_KINDS:
+        if kind in IGNORED_EVENT_KINDS:
             return []
         return self._handle_event(node, self._read_event(kind, item, self._balancers[node]), now_ms)
 
@@ -214,15 +226,15 @@
         return [_write_action(node, action) for action in self._balancers[node].handle(event, now_ms)]
 
     def _read_page(self, item: Json) -> None:
-        endpoints = [_read_endpoint(entry) for entry in objects(item, "elements")]
-        self._pages[get(item, "bank", int)] = endpoints
+        endpoints = [_read_endpoint(entry) for entry in object_list_field(item, "elements")]
+        self._pages[required_field(item, "bank", int)] = endpoints
 
     def _launch(self, item: Json) -> Balancer:
         try:
-            settings = read_settings(get(item, "env", dict))
+            settings = read_settings(required_field(item, "env", dict))
         except ValueError as error:
             raise MalformedInputError(f"'env' has impossible settings: {error}") from None
-        return Balancer(settings, get(item, "salt", int))
+        return Balancer(settings, required_field(item, "salt", int))
 
     def _read_event(self, kind: str, item: Json, balancer: Balancer) -> PolicyEvent:
         if kind == "View":
@@ -231,23 +243,21 @@
             raise MalformedInputError("unknown kind of event")
         event = EVENT_READERS[kind](item)
         if isinstance(event, RequestReceived) and event.class_name not in balancer.classes:
-            raise MalformedInputError(
-                f"'type' is {event.class_name!r:.40}, which is no class of the settings"
-            )
+            raise MalformedInputError(f"'type' must be a class of the settings, not {event.class_name!r:.40}")
         return event
 
     def _read_endpoint_update(self, item: Json) -> EndpointUpdate:
-        kind = choice(item, "form", UPDATE_KINDS)
+        kind = choice_field(item, "form", UPDATE_KINDS)
         if kind is UpdateKind.FAILED:
             return EndpointUpdate(kind)
-        page = get(item, "bank", int)
+        page = required_field(item, "bank", int)
         if page not in self._pages:
-            raise MalformedInputError(f"'bank' {page} has had no Page")
-        return EndpointUpdate(kind, get(item, "stamp", int), self._pages[page])
+            raise MalformedInputError(f"'bank' must be the number of a page that was sent before, not {page}")
+        return EndpointUpdate(kind, required_field(item, "stamp", int), self._pages[page])
 
 
 def _read_batch(source: TextIO) -> Json | None:
-    """Read one batch; None at the end of the input.
+    """Read one batch; return None at the end of the input.
 
     Raises:
         MalformedInputError: The line is not a JSON object.
@@ -268,18 +278,18 @@
     """Answer batches until the input ends, and return the exit status.
 
     Args:
-        source: Where batches are read from.
-        sink: Where replies are written to.
-        errors: Where the error is written to that ends the process.
+        source: The stream that batches are read from.
+        sink: The stream that replies are written to.
+        errors: The stream that an error is written to before the process ends.
     """
-    host = Host()
+    nodes = SimulatedNodes()
     line_number = 1
     while True:
         try:
             message = _read_batch(source)
             if message is None:
                 return 0
-            reply = host.batch(message)
+            reply = nodes.handle_batch(message)
         except MalformedInputError as error:
             print(f"workspond: input line {line_number}: {error}", file=errors)
             return 2
