--- a/workspond/policy/actions.py
+++ b/workspond/policy/actions.py
@@ -20,7 +20,7 @@
         new_connection: Whether the attempt needs a new connection. An idle connection may have been dropped
             without notice, and a request that is lost on it may have run.
         send_within_ms: The time within which the attempt must be written to its connection. If that is not
-            possible, for example because connecting took too long, it ends with the outcome `NOT_SENT`.
+            possible, for example because connecting took too long, the attempt ends as `NOT_SENT`.
     """
 
     request_id: str
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -69,7 +69,7 @@
     ) -> bool:
         """Return whether the request has to wait until fewer attempts are in flight.
 
-        There is no limit behind the first tier.
+        The later tiers have no limit.
 
         Args:
             call: The request to be sent.
--- a/workspond/policy/attempt_sender.py
+++ b/workspond/policy/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sends attempts: sets their timeouts, chooses new connections, and records what is in flight."""
+"""Sends attempts: sets timeouts, decides on new connections, and records the attempts in flight."""
 
 from __future__ import annotations
 
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -50,7 +50,8 @@
 from workspond.policy.subscription_backoff import subscription_backoff_ms
 from workspond.policy.tenant_quotas import TenantQuotas
 
-# A replica doubles its subset of the servers when it has more attempts in flight per server than this.
+# A replica doubles its subset of the servers when it has more attempts in flight per server of the subset
+# than this.
 MAX_IN_FLIGHT_PER_SUBSET_SERVER = 1.0
 
 
--- a/workspond/policy/concurrency_limit.py
+++ b/workspond/policy/concurrency_limit.py
@@ -19,8 +19,9 @@
 # The limit while all retries are allowed is at least this: a replica with little load sends its few attempts
 # in bursts.
 MIN_LIMIT = 3.0
-INITIAL_LIMIT_PER_SERVER = 4.0  # applies until the response rate is known
-MIN_MEASURED_TIME_S = 1.0  # after this time the response rate counts as known
+# The limit per server while the response rate has been measured for less than `MIN_MEASURED_TIME_S`.
+INITIAL_LIMIT_PER_SERVER = 4.0
+MIN_MEASURED_TIME_S = 1.0
 
 
 def concurrency_limit(controller: RetryController, servers: float, now_ms: float) -> float:
@@ -28,7 +29,7 @@
 
     Args:
         controller: The controller that measures response rate and delay.
-        servers: The number of servers per replica, which may be fractional.
+        servers: The number of servers in service divided by the number of replicas.
         now_ms: The current time.
     """
     response_rate = controller.response_rate
@@ -40,6 +41,6 @@
     # Without the addition, the limit keeps shrinking where the normal delay exceeds its fraction of the
     # objective. With the full addition at any delay, the addition alone can keep the delay over the target,
     # as two attempts are too many for a server that processes one at a time.
-    added = ADDED_ATTEMPTS_PER_SERVER * servers / max(1.0, controller.delay_over_target())
+    added = ADDED_ATTEMPTS_PER_SERVER * servers / max(1.0, controller.delay_target_ratio())
     limit = added + response_rate.per_s() * DELAY_OBJECTIVE_RATIO * controller.mean_objective_s()
     return limit + max(0.0, MIN_LIMIT - limit) * controller.retry_fraction()
--- a/workspond/policy/events.py
+++ b/workspond/policy/events.py
@@ -87,8 +87,8 @@
         outcome: How the attempt ended.
         duration_ms: The time from the start of the attempt to its end.
         request_finished: Whether the request has its final answer, or no longer needs one.
-        load_report: The load that the server reported in the response, by name of the figure. The policy uses
-            `queue`, the number of requests waiting at the server.
+        load_report: The load figures that the server reported in the response, by name; None if it reported
+            none. The policy uses `queue`, the number of requests waiting at the server.
     """
 
     request_id: str
--- a/workspond/policy/idle_timeout.py
+++ b/workspond/policy/idle_timeout.py
@@ -12,8 +12,8 @@
 
 LOSS_FACTOR = 0.5  # the limit is set to this fraction of the idle time after which attempts were lost
 SUCCESS_FACTOR = 1.03  # the limit is multiplied by this after each success on an idle connection
-# Connections that were idle for less than this fraction of the servers' keep-alive time have not been dropped
-# for being idle.
+# A timeout or a slow reset indicates a dropped connection only if the connection had been idle for at least
+# this fraction of the servers' keep-alive time.
 MIN_IDLE_FRACTION = 0.05
 # A reset within this fraction of the typical delay shows that the connection was already closed.
 FAST_RESET_FRACTION = 0.1
@@ -54,7 +54,7 @@
             self._last_fast_reset_idle_ms = idle_ms
         elif outcome is Outcome.SUCCESS:
             self._limit_ms *= SUCCESS_FACTOR
-        # After a short idle time, a timeout or a late reset indicates a slow request, not a dropped
+        # After a short idle time, a timeout or a slow reset indicates a slow request, not a dropped
         # connection. Without this bound, timeouts of slow requests caused many connections to be closed.
         if idle_ms >= self._min_idle_ms:
             self._record_long_idle(idle_ms, outcome)
--- a/workspond/policy/request_queue.py
+++ b/workspond/policy/request_queue.py
@@ -1,6 +1,7 @@
-"""The queue of requests that wait because the concurrency limit is reached, in order of priority.
+"""The queue of requests that cannot be sent yet, in order of priority.
 
-The queue is an addition to the paper.
+A request waits because the concurrency limit is reached, or because no server of the subset can be picked for
+it now. The queue is an addition to the paper.
 """
 
 from __future__ import annotations
@@ -33,10 +34,7 @@
         self._queues: dict[tuple[str, bool], deque[Call]] = {}  # by class name and whether over quota
 
     def queue_deadline_at_ms(self, call: Call) -> float:
-        """Return when a request has to leave the queue.
-
-        This is early enough for an answer within the latency objective.
-        """
+        """Return when a request has to leave the queue, so that it can be answered within its objective."""
         max_wait_ms = self._max_wait_fraction * call.request_class.objective_ms
         return min(call.arrived_at_ms + max_wait_ms, call.deadline_at_ms)
 
--- a/workspond/policy/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -47,7 +47,7 @@
 
 
 class RetryController:
-    """Allows retries with a probability that keeps the delay under the target.
+    """Limits retries and sheds new requests, so that the delay stays under the target.
 
     Attributes:
         response_rate: nu1, the rate of successful responses.
@@ -91,7 +91,7 @@
         elapsed_s = max(0.0, min(now_ms - self._sampled_at_ms, RATE_WINDOW_MS)) / 1000.0
         self._sampled_at_ms = now_ms
         self.response_rate.record(is_success, now_ms)
-        self.failure_rate.record(0.0, now_ms)  # advances its time
+        self.failure_rate.record(0.0, now_ms)  # only advances the time of the failure rate
         self._add_sample(delay_ms, objective_ms, decay)
         self._retune()
         error_s = self._error_sum_s / max(self._sample_count, MIN_DELAY_SAMPLES)
@@ -141,7 +141,7 @@
         """Return the mean latency objective of the recent samples; there must be at least one sample."""
         return self._objective_sum_s / self._sample_count
 
-    def delay_over_target(self) -> float:
+    def delay_target_ratio(self) -> float:
         """Return the mean delay divided by the target delay; there must be at least one sample."""
         return 1.0 - self._error_sum_s / (TARGET_OBJECTIVE_RATIO * self._objective_sum_s)
 
--- a/workspond/policy/retry_policy.py
+++ b/workspond/policy/retry_policy.py
@@ -14,8 +14,9 @@
 from workspond.policy.moving_averages import SlidingWindowCounter
 from workspond.policy.settings import DeduplicationScope, Idempotency, Settings
 
-MAX_BASE_BACKOFF_MS = 500.0  # T1, the backoff before the first retry
-BASE_BACKOFF_FRACTION = 0.05  # fraction of the latency objective that is used instead of T1 if it is less
+MAX_BASE_BACKOFF_MS = 500.0  # T1 in the paper
+# The backoff before the first retry is this fraction of the latency objective, if that is less than T1.
+BASE_BACKOFF_FRACTION = 0.05
 # An attempt that another one can follow times out at the latest after this fraction of the remaining time.
 REMAINING_TIME_FRACTION = 0.95
 TIMEOUT_DELAY_RATIO = 8.0  # an attempt times out after this multiple of the typical delay
--- a/workspond/policy/send_gate.py
+++ b/workspond/policy/send_gate.py
@@ -77,7 +77,11 @@
         return not call.attempts or self._retry_policy.within_retry_budget(now_ms)
 
     def _take_from_slow_start_budget(self, server: Server, now_ms: float) -> bool:
-        """Check rule 4: a server that is warming up gets no more than its token bucket allows."""
+        """Check rule 4: take a token from the budget of a server that is warming up.
+
+        Returns:
+            True if a token was taken or the server is warm; False if the budget has no token.
+        """
         capacity_fraction = self._slow_start.capacity_fraction(server, now_ms)
         if capacity_fraction >= 1.0:
             return True
--- a/workspond/policy/settings.py
+++ b/workspond/policy/settings.py
@@ -60,8 +60,8 @@
         objective_ms: The latency objective. An answer within this time has its full value.
         deadline_ms: The time that a client waits for the answer, over all attempts.
         priority_weight: The value of an answer, relative to the answers of other classes.
-        late_value_fraction: The fraction of its value that an answer has after the objective and before the
-            deadline.
+        late_value_fraction: The value of an answer between the objective and the deadline, as a fraction of
+            its full value.
         idempotency: Whether requests of the class may run more than once.
         deduplication_scope: For `KEYED`: which servers form a deduplication group.
         deduplication_window_ms: For `KEYED`: the time after the first attempt in which repeats are dropped.
@@ -85,7 +85,7 @@
         name: The name by which requests refer to the tenant.
         quota_fraction: The fraction of the service that the tenant is entitled to.
         quota_per_s: The tenant's quota in requests per second, over all replicas; 0 means no quota. The value
-            of requests beyond the quota is multiplied by `Settings.over_quota_value_fraction`.
+            of requests over quota is multiplied by `Settings.over_quota_value_fraction`.
     """
 
     name: str
@@ -99,8 +99,9 @@
 
     Attributes:
         classes: All request classes; at least one.
-        tenants: The tenants that have a quota.
-        over_quota_value_fraction: The fraction of its value that a request beyond its tenant's quota has.
+        tenants: The tenants of the service, with or without a quota.
+        over_quota_value_fraction: The value of a request over its tenant's quota, as a fraction of its value
+            within the quota.
         worst_class_weight: The weight, in the operators' score, of the class with the worst service, relative
             to the weight of all requests.
         zone: The zone of this replica.
@@ -131,7 +132,8 @@
         overload_window_ms: The time for which a server that is warming up tolerates an overload.
         retry_budget_ratio: The number of retries allowed per request received, over all classes; None if
             there is no retry budget.
-        retry_budget_floor: The number of retries allowed in any window in addition to that.
+        retry_budget_floor: The number of retries allowed in any window in addition to those that
+            `retry_budget_ratio` allows.
         retry_budget_window_ms: The length of the windows in which requests and retries are counted.
         rejected_may_have_run: Whether an attempt may have run although its server rejected it.
         cross_zone_price: The price of an attempt to another zone, relative to the number of first attempts,
@@ -188,7 +190,7 @@
             raise InvalidSettingError("classes", "must have at least one entry, has none")
         names = [request_class.name for request_class in self.classes]
         if len(set(names)) < len(names):
-            raise InvalidSettingError("classes", f"must have distinct names, are {', '.join(names)}")
+            raise InvalidSettingError("classes", f"names must be distinct, are {', '.join(names)}")
 
     def _check_non_negative(self) -> None:
         for name, value in self._non_negative_values().items():
--- a/workspond/policy/subscription_backoff.py
+++ b/workspond/policy/subscription_backoff.py
@@ -17,8 +17,8 @@
 def subscription_backoff_ms(poll_interval_ms: float, rng: random.Random) -> float:
     """Return a backoff in milliseconds, with random jitter so that replicas do not all subscribe at once.
 
-    The backoff is short even if the poll interval is long: the replica is expected to know of an update after
-    6 s, also if its subscription silently failed to deliver it.
+    The backoff is short even if the poll interval is long. The reason is that the replica is expected to know
+    of an update after 6 s, even if its subscription silently failed to deliver the update.
 
     Args:
         poll_interval_ms: The poll interval from the settings.
