--- a/tests/checker.py
+++ b/tests/checker.py
@@ -51,7 +51,8 @@
 class Checker:
     """Checks all actions of one balancer, and raises `RuleBrokenError` for the first that breaks a rule.
 
-    Each event has to be passed to the checker before the balancer handles it, and each action in its order.
+    Each event has to be passed to the checker before the balancer handles it, and the actions in the order in
+    which the balancer returns them.
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,13 +77,13 @@
                 self.sent_to.setdefault(action.request_id, []).append(action.server_id)
         return actions
 
-    def replace_endpoints(self, servers: list[Endpoint], version: int = 1) -> list[PolicyAction]:
+    def replace_endpoints(self, listed: list[Endpoint], version: int = 1) -> list[PolicyAction]:
         """Deliver a complete endpoint list."""
-        return self.handle(EndpointUpdate(UpdateKind.COMPLETE, version, servers))
+        return self.handle(EndpointUpdate(UpdateKind.COMPLETE, version, listed))
 
-    def update_endpoints(self, *servers: Endpoint) -> list[PolicyAction]:
+    def update_endpoints(self, *changed: Endpoint) -> list[PolicyAction]:
         """Deliver an incremental update of the endpoint list."""
-        return self.handle(EndpointUpdate(UpdateKind.INCREMENTAL, 2, list(servers)))
+        return self.handle(EndpointUpdate(UpdateKind.INCREMENTAL, 2, list(changed)))
 
     def receive(
         self,
@@ -102,7 +102,10 @@
         after_ms: float = 50.0,
         request_finished: bool | None = None,
     ) -> list[PolicyAction]:
-        """End the last attempt of a request; unless given, a success finishes the request."""
+        """End the last attempt of a request.
+
+        `request_finished` is by default whether the outcome is a success.
+        """
         self.now_ms += after_ms
         attempt_number = len(self.sent_to[request_id]) - 1
         server_id = self.sent_to[request_id][attempt_number]
@@ -139,6 +142,9 @@
 
 
 def try_send(replica: Replica, request_id: str, server_id: int) -> bool:
-    """Send a request to a given server through the send gate only, and return whether it was sent."""
+    """Send a request to the given server, and return whether it was sent.
+
+    Only the send gate can block the attempt, as if new code had forgotten to check the rules before.
+    """
     balancer = replica.balancer
     return balancer._send(balancer._calls[request_id], balancer.fleet.servers[server_id], replica.now_ms)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -68,7 +68,7 @@
     assert replica.balancer.fleet.servers[replica.sent_to["abandoned late"][0]].relative_latency > 2.0
 
 
-def test_attempt_from_before_its_server_was_listed_again_is_not_counted_for_the_server() -> None:
+def test_end_of_an_attempt_sent_before_its_server_was_relisted_keeps_the_servers_in_flight_count() -> None:
     replica = Replica(servers=1)
     replica.receive("before")
     replica.replace_endpoints([])
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -82,11 +82,11 @@
     """Without the decay, a replica would keep shedding because of old samples, and get no new ones."""
     controller = RetryController()
     now_ms = record_responses(controller, 2000.0, 50)
-    shed = controller.shed_fraction(now_ms)
-    assert shed > 0.5
-    assert controller.shed_fraction(now_ms + 20_000.0) <= 0.2 * shed
+    shed_fraction = controller.shed_fraction(now_ms)
+    assert shed_fraction > 0.5
+    assert controller.shed_fraction(now_ms + 20_000.0) <= 0.2 * shed_fraction
     controller.record_response(100.0, 1000.0, now_ms + 20_000.0, is_success=True)
-    assert controller.shed_fraction(now_ms + 20_000.0) < 0.5 * shed
+    assert controller.shed_fraction(now_ms + 20_000.0) < 0.5 * shed_fraction
 
 
 def test_gains_are_kept_while_the_rate_is_in_the_retune_range() -> None:
@@ -113,8 +113,8 @@
 def test_limit_keeps_its_initial_value_until_there_are_responses() -> None:
     """A limit derived from no responses would reject requests in the first seconds, without any load."""
     controller = RetryController()
-    for k in range(20):
-        assert concurrency_limit(controller, 4.0, 100.0 * k) == INITIAL_LIMIT_PER_SERVER * 4.0
+    for number in range(20):
+        assert concurrency_limit(controller, 4.0, 100.0 * number) == INITIAL_LIMIT_PER_SERVER * 4.0
     now_ms = 2000.0
     for _ in range(30):
         now_ms += 50.0
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -164,7 +164,7 @@
 
 
 def run_random_events(seed: int, **changes: Any) -> None:
-    """Deliver random valid events, and check that each request has been answered after its deadline."""
+    """Deliver random valid events, then pass all deadlines and check that each request has been answered."""
     environment = Environment(seed, **changes)
     for number in range(150):
         environment.step(number)
@@ -202,26 +202,26 @@
     """Each fault is one that a careless change could introduce. Without a fault, no rule is broken."""
     assert first_violation(**RETRY_BUDGET, rejected_may_have_run=True) == "none"
 
-    def always(*_: object) -> bool:
+    def return_true(*_: object) -> bool:
         return True
 
     with monkeypatch.context() as patch:
-        patch.setattr(RetryPolicy, "may_be_repeated", always)
+        patch.setattr(RetryPolicy, "may_be_repeated", return_true)
         assert first_violation().startswith("rule 2")
     with monkeypatch.context() as patch:
-        patch.setattr(RetryPolicy, "within_retry_budget", always)
+        patch.setattr(RetryPolicy, "within_retry_budget", return_true)
         assert first_violation(**RETRY_BUDGET).startswith("rule 5")
     with monkeypatch.context() as patch:
         patch.setattr(Server, "deduplication_group", lambda *_: None)
         assert first_violation().startswith("rule 2")
     with monkeypatch.context() as patch:
-        patch.setattr(Balancer, "_reject_or_fail", always)
+        patch.setattr(Balancer, "_reject_or_fail", return_true)
         assert first_violation().startswith("rule 1")
     with monkeypatch.context() as patch:
         patch.setattr(
             server_module,
             "EndpointState",
-            type("AllInService", (), {"IN_SERVICE": EndpointState.DRAINING, "REMOVED": 0}),
+            type("DrainingInService", (), {"IN_SERVICE": EndpointState.DRAINING, "REMOVED": 0}),
         )
         assert first_violation(drain_grace_ms=0.0).startswith("rule 3")
 
@@ -244,8 +244,8 @@
     idempotent = environment.settings.classes[0]
 
     def send_load(seconds: float, gap_ms: float, phase: int) -> None:
-        for k in range(int(seconds * 1000 / gap_ms)):
-            request_id = f"{phase}-{k}"
+        for number in range(int(seconds * 1000 / gap_ms)):
+            request_id = f"{phase}-{number}"
             environment.requests[request_id] = PendingRequest(idempotent, environment.now_ms + 3000.0)
             environment.deliver(RequestReceived(request_id, idempotent.name, 3000.0))
             environment.advance(gap_ms)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -21,17 +21,17 @@
 
 def test_backoff_doubles_and_has_jitter() -> None:
     # Without jitter, all replicas would retry at the same time after a common stall.
-    firsts, seconds = [], []
+    first_delays_ms, second_delays_ms = [], []
     for salt in range(200):
         replica = Replica(salt=salt)
         replica.receive("a", ttl_ms=30_000.0)
         [first] = timers(replica.end_attempt("a", Outcome.ERROR))
         replica.handle(TimerFired(first.token), first.delay_ms)
         [second] = timers(replica.end_attempt("a", Outcome.ERROR))
-        firsts.append(first.delay_ms)
-        seconds.append(second.delay_ms)
-    assert sum(seconds) == pytest.approx(2.0 * sum(firsts), rel=0.1)
-    assert max(firsts) > 2.0 * min(firsts)
+        first_delays_ms.append(first.delay_ms)
+        second_delays_ms.append(second.delay_ms)
+    assert sum(second_delays_ms) == pytest.approx(2.0 * sum(first_delays_ms), rel=0.1)
+    assert max(first_delays_ms) > 2.0 * min(first_delays_ms)
 
 
 def test_attempt_times_out_after_a_multiple_of_the_typical_delay() -> None:
@@ -43,12 +43,12 @@
     replica.serve(100, delay_ms=50.0)
     (send,) = sends(replica.receive("lost"))
     assert 100.0 < send.timeout_ms < 600.0
-    (other,) = sends(replica.receive("brief", ttl_ms=100.0))
-    assert other.timeout_ms < 100.0
+    (short_ttl,) = sends(replica.receive("short ttl", ttl_ms=100.0))
+    assert short_ttl.timeout_ms < 100.0
 
 
 def test_timeout_is_at_least_the_backoff() -> None:
-    """A multiple of a tiny delay is less than the event loop's jitter, and the retry waits anyway."""
+    """A multiple of a tiny delay is below the event loop's jitter, and the retry waits for its backoff."""
     replica = Replica()
     replica.serve(40, delay_ms=0.1)
     backoff_ms = min(MAX_BASE_BACKOFF_MS, BASE_BACKOFF_FRACTION * 1000.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -125,15 +125,15 @@
     assert try_send(replica, "retried", 1)  # allowed by all rules
 
 
-def test_send_gate_alone_enforces_the_budget_of_a_server_that_is_warming_up() -> None:
+def test_send_gate_alone_enforces_the_slow_start_budget() -> None:
     replica = Replica(servers=4)
     replica.serve(200)
     replica.update_endpoints(Endpoint(9, started_at_ms=replica.now_ms))
     sent = 0
-    for n in range(60):  # no time passes, so the budget is not refilled
-        replica.receive(f"c{n}")
-        replica.end_attempt(f"c{n}", Outcome.CONNECT_FAILED, 0.0)
-        sent += try_send(replica, f"c{n}", 9)
+    for number in range(60):  # no time passes, so the budget is not refilled
+        replica.receive(f"failed-{number}")
+        replica.end_attempt(f"failed-{number}", Outcome.CONNECT_FAILED, 0.0)
+        sent += try_send(replica, f"failed-{number}", 9)
     assert sent <= 4
 
 
@@ -144,11 +144,11 @@
     def count_allowed_retries(count: int) -> int:
         """Receive requests whose first attempts fail, and return how many of them the gate lets retry."""
         retries = 0
-        for n in range(count):
-            request_id = f"{replica.now_ms}-{n}"
+        for number in range(count):
+            request_id = f"{replica.now_ms}-{number}"
             replica.receive(request_id)
             replica.end_attempt(request_id, Outcome.CONNECT_FAILED, 0.0)
-            retries += try_send(replica, request_id, n % 8)
+            retries += try_send(replica, request_id, number % 8)
         return retries
 
     assert count_allowed_retries(9) == 2  # the floor of the budget
@@ -162,10 +162,10 @@
 
 def test_retries_are_not_limited_if_there_is_no_retry_budget() -> None:
     replica = Replica(8)
-    for n in range(20):
-        replica.receive(f"{n}")
-        replica.end_attempt(f"{n}", Outcome.CONNECT_FAILED, 0.0)
-        assert try_send(replica, f"{n}", 1)
+    for number in range(20):
+        replica.receive(f"{number}")
+        replica.end_attempt(f"{number}", Outcome.CONNECT_FAILED, 0.0)
+        assert try_send(replica, f"{number}", 1)
 
 
 def test_rule_6_rejected_request_may_have_run_if_the_settings_say_so() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -40,9 +40,10 @@
     for servers in ([Endpoint(1)], endpoints(range(3), weight=0.0)):
         replica = Replica(servers=0)
         replica.replace_endpoints(servers)
-        for n in range(30):
-            replica.receive(f"{n}")
-            if f"{n}" in replica.sent_to:
-                replica.end_attempt(f"{n}", [Outcome.SUCCESS, Outcome.ERROR, Outcome.TIMEOUT][n % 3], 0.0)
+        for number in range(30):
+            replica.receive(f"{number}")
+            if f"{number}" in replica.sent_to:
+                outcome = [Outcome.SUCCESS, Outcome.ERROR, Outcome.TIMEOUT][number % 3]
+                replica.end_attempt(f"{number}", outcome, 0.0)
         assert replica.sent_to or not any(s.weight for s in servers)
         assert not answers(replica.handle(TimerFired(0)))
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -203,7 +203,7 @@
             self._actions.append(self._timers.set(call, wait_ms - slack_ms))
 
     def _release_queued(self, now_ms: float) -> None:
-        """Send queued requests in order of priority until the concurrency limit is reached."""
+        """Send all queued requests that can be sent now, in order of priority."""
         for queue in self._queue.by_priority(self.admission.priority):
             while queue and self._try_release(queue[0], now_ms):
                 queue.popleft()
