--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Validation of the settings, and fleets at the limits of what is allowed."""
+"""Validation of the settings, and fleets without servers, with one server and with weights of 0."""
 
 from __future__ import annotations
 
--- a/workspond/policy/call.py
+++ b/workspond/policy/call.py
@@ -20,8 +20,9 @@
         over_quota: Whether the request exceeds its tenant's quota.
         attempts: The number of attempts sent so far.
         attempt_in_flight: Whether an attempt is in flight.
-        sent_at_ms: When the last attempt was sent.
-        connection_idle_ms: How long the connection of the last attempt had been idle before the attempt.
+        sent_at_ms: When the last attempt was sent; before the first attempt, when the request arrived.
+        connection_idle_ms: How long the server's connections had been idle when the last attempt was sent; 0
+            if attempts were in flight at the server, or if its idle connections were closed first.
         last_server: The server of the last attempt.
         first_possible_run_at_ms: When the first attempt that may have run was sent; None if no attempt can
             have run.
--- a/workspond/policy/retry_controller.py
+++ b/workspond/policy/retry_controller.py
@@ -66,7 +66,8 @@
         self._error_sum_s = 0.0
         self._objective_sum_s = 0.0
         self._sample_count = 0.0
-        self._sampled_at_ms = math.inf  # time of the last sample
+        # Time of the last sample. Infinity before the first sample, so that no time counts as elapsed.
+        self._sampled_at_ms = math.inf
         self.tuned_rate = 0.0
         self.integral = 0.0
         self.allowed_rate = 0.0
