--- a/workspond/downstream/client_connection.py
+++ b/workspond/downstream/client_connection.py
@@ -73,11 +73,11 @@
         self._socket: socket.socket
         self._pipeline = RequestPipeline(RequestParser(owner.classes, owner.internal_path_response))
         self._active_request: AcceptedRequest | None = None
-        self._awaits_response = False  # also set while the owner's `accept` runs
-        self._has_accepted_request = False  # stays set once a request was accepted
-        self._is_draining = False  # the connection closes after its pending responses
-        self._is_input_ended = False  # the client has closed its sending side, or further input is ignored
-        self._is_writing_paused = False  # the client does not read its responses
+        self._awaits_response = False  # True from the call of the owner's `accept` until the response is sent
+        self._has_accepted_request = False  # remains True after the first accepted request
+        self._is_draining = False  # if True, the connection closes after its pending responses
+        self._is_input_ended = False  # True after an EOF of the client, and if further input is ignored
+        self._is_writing_paused = False  # True while the client does not read its responses
         self._is_reading_paused = False
 
     # Callbacks of the transport
@@ -137,8 +137,8 @@
             return ConnectionState.FLUSHING
         if self._pipeline.ends_with_rejection():
             return ConnectionState.REJECTING
-        # Applies also while an earlier request is processed, so that a client that stops in the middle of a
-        # request gets an error soon.
+        # This state takes precedence over AWAITING_RESPONSE, so that a client that stops in the middle of a
+        # request gets an error soon, even if an earlier request is still processed.
         if self._has_accepted_request and self._pipeline.has_partial_message and not self._pipeline.unparsed:
             return ConnectionState.READING_REQUEST
         if self._awaits_response or self._pipeline.messages:
@@ -165,7 +165,8 @@
             return False
         self._end_input()
         if self._is_reading_paused:
-            self._transport.resume_reading()  # up to the EOF, which closes the transport
+            # Once the transport has read the EOF, it closes as soon as everything is written.
+            self._transport.resume_reading()
         self._update_state()
         return True
 
@@ -259,7 +260,7 @@
             self._close(CloseReason.NODE_STOPPING)
 
     def handle_timeout(self) -> None:
-        """Fail or close the connection, because the timeout of its state has expired."""
+        """Answer with errors or close the connection, because the timeout of its state has expired."""
         if self.state is ConnectionState.FLUSHING:
             self.abort(CloseReason.RESPONSE_NOT_READ)
         elif self.state is ConnectionState.REJECTING:
@@ -282,7 +283,7 @@
         self._update_state()
 
     def _reject(self, rejection: ConnectionRejection) -> None:
-        """Write the error that ends the connection, once all earlier requests have their responses."""
+        """Write the error that ends the connection; all earlier requests must have been answered."""
         self._count_close(rejected_with(rejection.response.status))
         self._end_input()
         self._transport.write(render(rejection.response, close=True))
@@ -312,7 +313,7 @@
         """Close at once, without the pending responses."""
         self._count_close(reason)
         self._is_input_ended = True
-        # Not left to `connection_lost`, which is called later, as the socket no longer counts as in use.
+        # The socket must no longer count as in use, and `connection_lost` is only called later.
         self._owner.connection_closed(self)
         self._transport.abort()
 
--- a/workspond/downstream/connection_states.py
+++ b/workspond/downstream/connection_states.py
@@ -19,8 +19,8 @@
     READING_REQUEST = "the rest of a request"
     AWAITING_RESPONSE = "a response from the node"
     IDLE = "the next request"
-    REJECTING = "the responses to the requests before a rejection"
-    FLUSHING = "the client to read its responses"
+    REJECTING = "the responses to the requests that precede a rejection"
+    FLUSHING = "the transmission of written responses"
 
 
 STATE_TIMEOUTS_S = {
@@ -29,13 +29,14 @@
     ConnectionState.AWAITING_FIRST_REQUEST: 2.0,
     ConnectionState.READING_REQUEST: 2.0,
     ConnectionState.REJECTING: 2.0,
-    # Many clients send one request and keep the connection open. To a client that sends another request after
-    # the timeout, a new connection costs little.
+    # Many clients send one request and keep the connection open. A new connection costs little for a client
+    # that sends another request after the timeout.
     ConnectionState.IDLE: 10.0,
     ConnectionState.FLUSHING: 2.0,
 }  # AWAITING_RESPONSE needs no timeout, as each request ends at its deadline
 
-# At the connection limit, connections in these states are closed in this order to make room for new clients.
+# At the connection limit, a connection in one of these states is closed for each new client. The states are
+# tried in this order; within a state, the connection that entered it first is closed first.
 EVICTION_ORDER = (
     ConnectionState.FLUSHING,
     ConnectionState.AWAITING_FIRST_REQUEST,
@@ -97,7 +98,8 @@
     def timed_out(self, now_s: float) -> list[Connection]:
         """Return the connections whose state has timed out.
 
-        The connections of a state are in order of entry, so the search stops at the first one in time.
+        The connections in a state are in order of entry, so the search in each state stops at the first one
+        that has time left.
         """
         expired = []
         for state, timeout_s in STATE_TIMEOUTS_S.items():
--- a/workspond/downstream/frontend.py
+++ b/workspond/downstream/frontend.py
@@ -16,8 +16,8 @@
 from workspond.observability.counters import EventCounters
 from workspond.policy.settings import RequestClass
 
-SWEEP_INTERVAL_S = 0.2  # also the longest delay after which an expired state timeout is noticed
-MAX_EVICTION_CANDIDATES = 32  # limits how many sockets are polled for each new connection over the limit
+SWEEP_INTERVAL_S = 0.2  # expired state timeouts are noticed with at most this delay
+MAX_EVICTION_CANDIDATES = 32  # each new connection over the limit causes at most this many socket polls
 READY_PATH = b"/-/ready"
 
 
@@ -71,7 +71,7 @@
             The bound address; for port 0, with the port that the kernel has chosen.
 
         Raises:
-            OSError: The socket could not be bound to the address.
+            OSError: The address could not be bound, or descriptors or memory run short.
         """
         self._loop = loop
         self._listener = Listener(loop, address, lambda: ClientConnection(self))
@@ -99,11 +99,11 @@
             return Response(404, b"no such path")
         if self._handler.is_ready() and not self._fails_ready_checks:
             return Response(200, b"ready")
-        # Not 503: a client could take that for a request rejected because of load.
+        # The status is not 503, as a client could take that for a rejection because of load.
         return Response(500, b"not ready")
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Track a new connection; over the limit, close one that has no pending response."""
+        """Track a new connection; over the limit, close a connection in a state of `EVICTION_ORDER`."""
         self.connections.set_state(connection, ConnectionState.AWAITING_FIRST_REQUEST, self._loop.time())
         if self._is_draining:
             connection.drain()
@@ -111,7 +111,7 @@
             self._evict_connection_for(connection)
 
     def _evict_connection_for(self, new: ClientConnection) -> None:
-        """Close a connection that has no pending response, or the new one if none can be closed.
+        """Close a connection in a state of `EVICTION_ORDER`, or the new one if none can be closed.
 
         Connections with unread data are kept, as the data may be a request: many clients may have connected
         and sent requests within one iteration of the event loop.
--- a/workspond/downstream/listener.py
+++ b/workspond/downstream/listener.py
@@ -13,7 +13,7 @@
 
 from workspond.address import Address
 
-BACKLOG = 1024  # completed connections that the kernel queues until they are accepted
+BACKLOG = 1024  # the kernel queues up to this many connections until they are accepted
 # Must be below the number of reserved descriptors, as the descriptor of a closed connection is only free
 # in the next iteration of the event loop.
 MAX_ACCEPTS_PER_ITERATION = 16
@@ -50,7 +50,7 @@
         self._socket.setblocking(False)
         self._attach_tasks: set[asyncio.Task[None]] = set()
         self._retry_timer: asyncio.TimerHandle | None = None
-        self._has_logged_shortage = False  # limits the log to one line for each shortage
+        self._has_logged_shortage = False  # prevents further log lines about the same shortage
         self._is_closed = False
         loop.add_reader(self._socket, self._accept_connections)
 
@@ -111,8 +111,8 @@
     async def close(self) -> None:
         """Stop accepting connections and close the listening socket.
 
-        Connections in the backlog are accepted first, as closing the listening socket would reset them, and
-        with them requests that clients have already sent.
+        Connections in the backlog are accepted first, as closing the listening socket would reset them and
+        lose the requests that clients have already sent on them.
         """
         if self._is_closed:
             return
--- a/workspond/downstream/request_pipeline.py
+++ b/workspond/downstream/request_pipeline.py
@@ -1,8 +1,8 @@
 """The queue of a client connection for requests that were received and wait to be processed.
 
 A client may send requests without waiting for earlier responses (pipelining). Only a few are parsed in
-advance. While unparsed data is left, the connection reads no more, which bounds the memory that a flood of
-requests takes.
+advance. Reading from the connection is paused while unparsed data is left, which bounds the memory that a
+flood of requests takes.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     """Parses the data that a connection receives and queues the messages.
 
     The connection reads the attributes and takes messages from the queue; only the pipeline sets the
-    attributes. They are not properties, as they are read several times for each request.
+    attributes. They are not properties, for speed, as they are read several times for each request.
 
     Attributes:
         messages: The queue of parsed messages.
--- a/workspond/http/request.py
+++ b/workspond/http/request.py
@@ -17,9 +17,10 @@
         target: The request target, which is the path with the query.
         request_id: The value of the X-Call-Id header.
         class_name: The name of the request class.
-        budget_ms: The time within which the client must be answered, counted from `received_at_ms`.
+        budget_ms: The time within which the client must be answered, counted from `received_at_ms`. It is the
+            value of the X-Budget header, but at most the deadline of the class.
         tenant: The value of the X-Caller header, or None without the header.
-        is_client_retry: Whether the client has sent this request before.
+        is_client_retry: Whether the client has sent this request before, according to its X-Again header.
         idempotency_key: The value of the Idempotency-Key header, or None without the header.
         content_type: The value of the Content-Type header, or None without the header.
         body: The complete body.
--- a/workspond/http/request_parser.py
+++ b/workspond/http/request_parser.py
@@ -60,8 +60,8 @@
         self._messages: list[ParsedMessage] = []  # holds the messages that the last `feed` completed
         self.has_partial_message = False
         self.is_finished = False
-        self._has_completed_message = False  # refers to the data of the last `feed`
-        self._received_at_ms = 0.0  # refers to the data of the last `feed`
+        self._has_completed_message = False  # True if the data of the last `feed` completed a message
+        self._received_at_ms = 0.0  # the time at which the data of the last `feed` was received
         self._start_message()
 
     def _start_message(self) -> None:
--- a/workspond/http/request_validator.py
+++ b/workspond/http/request_validator.py
@@ -13,7 +13,7 @@
 from workspond.http.request import ClientRequest, InvalidRequestError
 from workspond.policy.settings import Idempotency, RequestClass
 
-# These headers must not be repeated, as a server might use another of the values than this node.
+# These headers must not be repeated, as a server might use a different value than this node.
 SINGLE_VALUE_HEADERS = frozenset(
     (
         b"host",
@@ -117,7 +117,10 @@
 
 
 def _read_idempotency_key(headers: Headers, request_class: RequestClass) -> bytes | None:
-    """Return the key, which a keyed request must have so that servers can recognize its retries."""
+    """Return the key of a request in a keyed class; return None for other classes, which allow no key.
+
+    Servers recognize the retries of a keyed request by its key.
+    """
     key = headers.get(b"idempotency-key")
     needs_key = request_class.idempotency is Idempotency.KEYED
     if (key is not None) != needs_key or (key and not TOKEN_PATTERN.fullmatch(key)):
--- a/workspond/http/response_parser.py
+++ b/workspond/http/response_parser.py
@@ -1,7 +1,7 @@
 """Parses HTTP/1.1 responses of servers and of the discovery agent.
 
 The parser reads one response at a time. It handles body framing, skips interim (1xx) responses and enforces
-size limits. `ResponseRules` holds what differs between servers and the agent.
+size limits. `ResponseRules` holds the options that differ between servers and the agent.
 """
 
 from __future__ import annotations
@@ -101,7 +101,7 @@
         self._framing_count = 0
         self._in_body = False
         self._is_complete = False
-        self._ignores_rest = False  # the response is complete, and data that follows is ignored
+        self._ignores_rest = False  # True if the response is complete and the data that follows is ignored
         self._failure: ParseState | None = None
         self.can_keep_alive = False
 
@@ -152,8 +152,11 @@
     # Callbacks of httptools. An exception raised in a callback makes `feed_data` raise an `HttpParserError`.
 
     def on_message_begin(self) -> None:
-        """Note that a further response has begun, if one is complete already."""
-        if self._ignores_rest:  # the second response belongs to no request
+        """Prevent reuse of the connection if a further response begins while trailing data is ignored.
+
+        Such a response belongs to no request.
+        """
+        if self._ignores_rest:
             self.can_keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
--- a/workspond/observability/log_output.py
+++ b/workspond/observability/log_output.py
@@ -19,9 +19,9 @@
 
 
 def open_standard_descriptors() -> None:
-    """Open /dev/null on those of the descriptors 0 to 2 that are closed.
+    """Open /dev/null on each of the descriptors 0 to 2 that is closed.
 
-    Otherwise the first sockets would get these numbers, and log lines would be written into them.
+    Otherwise the first sockets would get these numbers, and log lines would be written to a socket.
     """
     descriptor = os.open(os.devnull, os.O_RDWR)
     while descriptor <= STANDARD_ERROR:
--- a/workspond/upstream/connection.py
+++ b/workspond/upstream/connection.py
@@ -20,10 +20,10 @@
 from workspond.upstream.load_report import parse_load_report
 
 REUSE_DELAY_MS = 10.0
-"""The time after a response before which a connection is not reused.
+"""The time for which a connection is not reused after a response.
 
 A second response to a request may arrive some milliseconds after the first (0.8 to 3.6 ms were seen). As
-responses do not identify their request, it would be taken for the response to the next request.
+responses do not identify their request, the second one would be taken for the response to the next request.
 """
 
 REJECTION_STATUSES = (503, 504)
@@ -93,7 +93,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse a part of the response; close the connection if no request awaits one."""
-        if self._attempt is None:  # an unexpected response could be taken for that to the next request
+        if self._attempt is None:
+            # An unexpected response could be taken for the response to the next request.
             self.close()
             return
         match self._parser.feed(data):
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -27,7 +27,7 @@
 LATE_READ_DELAY_S = 0.001
 """The time by which a timeout is postponed when response data is unread.
 
-It is the resolution of the event loop's timers. After the delay, the loop has read the data.
+It equals the resolution of the event loop's timers. After the delay, the loop has read the data.
 """
 
 SWEEP_INTERVAL_S = 1.0
@@ -54,7 +54,7 @@
 
 
 class ConnectionPool:
-    """The open, idle and opening connections to all servers."""
+    """All connections to servers: those in use, the idle ones and those being opened."""
 
     def __init__(
         self,
@@ -75,8 +75,9 @@
         self._available_descriptors = available_descriptors
         self._connect_timeout_s = connect_timeout_ms / 1000.0
         self._max_idle_ms = keepalive_ms * MAX_IDLE_FRACTION
-        self._idle: dict[int, list[ServerConnection]] = {}  # by server id, least recently used first
-        self._open: set[ServerConnection] = set()
+        # By server id. Each list begins with the least recently used connection.
+        self._idle: dict[int, list[ServerConnection]] = {}
+        self._open: set[ServerConnection] = set()  # includes the idle connections
         self._connecting: set[asyncio.Task[None]] = set()
         loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
@@ -116,7 +117,7 @@
         if connection is not None:
             connection.send(attempt)
         elif self._available_descriptors() <= 0 and not self.close_oldest_idle():
-            # The shortage is in this process: the request never ran, and the server is not at fault.
+            # The shortage is in this process: the attempt never ran, and the server is not at fault.
             attempt.end(Outcome.NOT_SENT)
         else:
             self._start_connecting(attempt, server_id, address)
@@ -163,7 +164,7 @@
         connection = ServerConnection(self, server_id, address)
         try:
             outcome = await self._connect_and_send(connection, attempt)
-        except OSError as error:  # includes TimeoutError
+        except OSError as error:  # TimeoutError is a subclass
             is_local = error.errno in LOCAL_SHORTAGE_ERRNOS
             outcome = Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED
         except Exception:
@@ -179,10 +180,10 @@
         """Open a connection and send an attempt on it; return the outcome, or None if it was sent."""
         async with asyncio.timeout(self._connect_timeout_s):
             await self._loop.create_connection(lambda: connection, *connection.address)
-        if not connection.is_usable():  # it was closed right after it had opened
+        if not connection.is_usable():  # the server closed it at once, or sent data before a request
             return Outcome.CONNECT_FAILED
         self._open.add(connection)
-        # During connecting, the request may have ended or the server may have started to drain.
+        # The request may have ended, or the server may have started to drain, while the connection opened.
         if attempt.is_over or not attempt.handler.may_send():
             self.release(connection)
             return Outcome.NOT_SENT
--- a/workspond/upstream/load_report.py
+++ b/workspond/upstream/load_report.py
@@ -5,7 +5,7 @@
 import math
 
 MAX_REPORTED_VALUE = 1e6
-"""The limit to which figures are capped.
+"""The maximum of a figure; larger figures are reduced to it.
 
 The policy raises figures to powers, and an overflow would make every selection of a server fail.
 """
@@ -14,7 +14,8 @@
 def parse_load_report(header_value: bytes) -> dict[str, float] | None:
     """Parse a load report such as `inflight=7,queue=2`.
 
-    Servers may report inaccurate figures: they are clamped to the range from 0 to `MAX_REPORTED_VALUE`.
+    Servers may report inaccurate figures, so the figures are clamped to the range from 0 to
+    `MAX_REPORTED_VALUE`.
 
     Args:
         header_value: The value of the header.
--- a/workspond/upstream/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -1,8 +1,9 @@
 """The last check before an attempt is written to a server connection.
 
-The state on which the policy decided to send may have changed while a connection was opened. In that case the
-attempt is not written and is reported as never run. An attempt that the policy must never send is not written
-either; it is counted and logged as a broken invariant.
+The check is made when the policy decides to send and again when a new connection has opened. If the
+conditions under which the policy decided have changed while the connection was opened, the attempt is not
+written and is reported as never run. An attempt that the policy must never send is not written either; it is
+counted and logged as a broken invariant.
 """
 
 from __future__ import annotations
@@ -76,7 +77,7 @@
         class_name: The name of the request's class.
         history: The earlier attempts of the request.
         server_id: The id of the selected server.
-        address: The address to which the connection is opened.
+        address: The address to which the connection is opened, or None if the server is not listed.
         send_until_ms: The latest time, by `now_ms`, to write the attempt; infinity if there is no limit.
     """
 
@@ -101,7 +102,7 @@
         Args:
             settings: The node's settings.
             in_service: The ids of the servers that take requests; the node updates this set in place.
-            addresses: The addresses of all servers by id; the node updates this mapping in place.
+            addresses: The addresses of all listed servers by id; the node updates this mapping in place.
         """
         self._settings = settings
         self._in_service = in_service
