--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -17,7 +17,7 @@
 
 
 def running_node(environment: NodeEnvironment) -> Node:
-    """Return the node of an environment that runs its node in this process."""
+    """Return the node of an environment, which must run its node in this process."""
     assert environment.node is not None
     return environment.node
 
@@ -60,5 +60,5 @@
 
 
 def is_ok(response: bytes) -> bool:
-    """Return whether the bytes of a response begin with status 200."""
+    """Return whether received bytes begin with a response of status 200."""
     return response.startswith(b"HTTP/1.1 200")
--- a/tests/stalled_listener.py
+++ b/tests/stalled_listener.py
@@ -49,10 +49,10 @@
     async def accept(self) -> socket.socket:
         """Accept the pending connection and return it."""
         loop = asyncio.get_running_loop()
-        in_backlog, _ = await asyncio.wait_for(loop.sock_accept(self._socket), WAIT_TIMEOUT_S)
-        in_backlog.close()
-        stalled, _ = await asyncio.wait_for(loop.sock_accept(self._socket), WAIT_TIMEOUT_S)
-        return stalled
+        accepted_filler, _ = await asyncio.wait_for(loop.sock_accept(self._socket), WAIT_TIMEOUT_S)
+        accepted_filler.close()
+        pending, _ = await asyncio.wait_for(loop.sock_accept(self._socket), WAIT_TIMEOUT_S)
+        return pending
 
 
 def has_received_nothing(connection: socket.socket) -> bool:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -30,7 +30,7 @@
 )
 from workspond.policy import request_queue
 
-BLOCKED_S = 0.3  # the time for which the event loop is blocked
+LOOP_BLOCK_DURATION_S = 0.3
 
 
 def close(client: socket.socket) -> None:
@@ -52,7 +52,7 @@
 
 def disconnect_and_block_the_loop(client: socket.socket, disconnect: Disconnect) -> None:
     disconnect(client)
-    time.sleep(BLOCKED_S)
+    time.sleep(LOOP_BLOCK_DURATION_S)
 
 
 def answer_now(server: Server) -> None:
@@ -110,10 +110,10 @@
 
 
 @each_kind_of_disconnect
-def test_request_queued_for_a_server_of_a_disconnected_client_is_not_sent(
+def test_queued_request_of_a_disconnected_client_is_not_sent(
     disconnect: Disconnect, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In the iteration in which the disconnect is read, the server has capacity again before that."""
+    """One iteration of the event loop reads the response that frees capacity, and then the disconnect."""
     # The maximum wait in the queue becomes 450 ms, which is longer than the event loop is blocked.
     monkeypatch.setattr(request_queue, "MAX_WAIT_FRACTION_FIRST_TIER", 0.9)
     monkeypatch.setattr(request_queue, "MAX_WAIT_FRACTION_LATER_TIERS", 0.9)
@@ -144,7 +144,7 @@
 def test_pipelined_request_of_a_disconnected_client_is_not_sent(
     disconnect: Disconnect, tmp_path: Path
 ) -> None:
-    """The response to the first request is read in the same iteration as the disconnect, before it."""
+    """One iteration of the event loop reads the response to the first request, and then the disconnect."""
 
     async def test() -> None:
         server = Server(HANG)
@@ -173,7 +173,7 @@
 
 
 @each_kind_of_disconnect
-def test_request_awaiting_a_new_connection_of_a_disconnected_client_is_not_sent(
+def test_request_of_a_disconnected_client_is_not_sent_on_a_connection_that_opens_late(
     disconnect: Disconnect, tmp_path: Path
 ) -> None:
     """The client's disconnect is read before the connection to the server has opened."""
--- a/tests/test_close_delimited_responses.py
+++ b/tests/test_close_delimited_responses.py
@@ -48,8 +48,8 @@
     run(test())
 
 
-@pytest.mark.parametrize("reset_time", ["at once", "later"])
-def test_a_reset_after_a_body_without_a_length_fails_the_request(reset_time: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("is_delayed", [False, True], ids=["reset at once", "delayed reset"])
+def test_a_reset_after_a_body_without_a_length_fails_the_request(is_delayed: bool, tmp_path: Path) -> None:
     """The reset is read in the same iteration of the event loop as the body, or in a later one."""
 
     async def test() -> None:
@@ -63,8 +63,8 @@
                 client.write(request("a", "pay"))
                 connection, _ = await asyncio.to_thread(listener.accept)
                 await asyncio.to_thread(connection.recv, 65536)
-                connection.sendall(HEAD + b"complete, as it looks")
-                if reset_time == "later":
+                connection.sendall(HEAD + b"seemingly complete")
+                if is_delayed:
                     await asyncio.sleep(0.1)
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 connection.close()
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -92,7 +92,8 @@
         self.requests: list[bytes] = []
         self._resets_first_connection = reset
         self._may_end_first_connection = threading.Event()
-        self._thread = threading.Thread(target=self._serve, daemon=True)  # no hang when a test fails
+        # The thread is a daemon so that the process can exit although a test has failed.
+        self._thread = threading.Thread(target=self._serve, daemon=True)
         self._thread.start()
 
     def _serve(self) -> None:
@@ -318,7 +319,7 @@
         async with pool_with_server(server) as pool:
             for n in range(20):
                 attempt = pool.send("a")
-                for _ in range(n % 4):  # aborts at each step of connecting
+                for _ in range(n % 4):  # the abort comes after 0 to 3 steps of connecting
                     await asyncio.sleep(0)
                 attempt.abort(Outcome.CANCELLED)
             assert pool.outcomes == [Outcome.CANCELLED] * 20
--- a/tests/test_connections_at_shutdown.py
+++ b/tests/test_connections_at_shutdown.py
@@ -56,7 +56,7 @@
 
 
 def test_new_connections_are_served_as_long_as_open_ones_during_shutdown(tmp_path: Path) -> None:
-    """A client of a single node that is refused a new connection closes its open connections too."""
+    """If a client knows only this node and can't open a new connection, it closes its open ones too."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,8 +17,10 @@
 from tests.peers import HANG, Client, ScriptedDiscoveryAgent, Server, node_environment, request, run, until
 from tests.program import Program
 
-MAX_UPDATE_LATENCY_S = 6.0  # counted from the agent's recovery to the node's next watch
-MAX_RELOAD_LATENCY_S = 4.0  # counted from SIGHUP to a watch at the new address
+# The update latency is measured from the agent's recovery to the node's next watch, and the reload latency
+# from SIGHUP to the first watch at the new agent.
+MAX_UPDATE_LATENCY_S = 6.0
+MAX_RELOAD_LATENCY_S = 4.0
 PENDING_REQUEST_COUNT = 4
 READY_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
 
@@ -36,8 +38,8 @@
 def raised_descriptor_limit() -> Iterator[None]:
     """Raise the descriptor limit of the test process, which needs more sockets than the program."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = 4096 if hard == resource.RLIM_INFINITY else min(4096, hard)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, wanted), hard))
+    needed = 4096 if hard == resource.RLIM_INFINITY else min(4096, hard)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, needed), hard))
     yield
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
@@ -91,7 +93,7 @@
     clients = []
     for number in range(PENDING_REQUEST_COUNT):
         client = Client(*await asyncio.open_connection(*address))
-        client.write(request(f"held-{number}"))
+        client.write(request(f"pending-{number}"))
         clients.append(client)
     return clients
 
@@ -125,7 +127,7 @@
 @pytest.mark.usefixtures("raised_descriptor_limit")
 @pytest.mark.parametrize("limit", [256, 512, 1024])
 @pytest.mark.parametrize("failure", AgentFailure, ids=lambda failure: failure.value)
-def test_a_node_at_its_descriptor_limit_gets_endpoint_updates_reloads_and_serves(
+def test_a_node_at_its_descriptor_limit_serves_requests_applies_updates_and_reloads(
     limit: int, failure: AgentFailure, tmp_path: Path
 ) -> None:
     old = Server(default=HANG, name="old")
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -58,7 +58,7 @@
 def test_a_server_that_changes_address_while_connecting_gets_no_request_at_the_old_address(
     stalled_server: StalledListener, tmp_path: Path
 ) -> None:
-    """Guards against a check of the server's name only, which sends the request to the old process."""
+    """If only the server's name were checked, the request would be sent to the process at the old address."""
 
     async def test() -> None:
         server = Server(name="moves")
@@ -81,7 +81,7 @@
 def test_a_keyed_request_is_not_retried_if_its_window_ends_while_connecting(
     stalled_server: StalledListener, tmp_path: Path
 ) -> None:
-    """If the deduplication window is checked only before connecting, the retry runs the request twice."""
+    """If the deduplication window were checked only before connecting, the request could run twice."""
     window_s = 0.6
 
     async def test() -> None:
@@ -125,7 +125,7 @@
             client.write(request("a", budget="1.1"))
             await wait_until_connecting(environment)
             connection = await stalled_server.accept()
-            block_the_loop(0.12)  # until after the request's deadline, as the node runs in this loop
+            block_the_loop(0.12)  # the node shares this loop, so the deadline passes before it can act
             reader, writer = await asyncio.open_connection(sock=connection)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.5):
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -34,7 +34,7 @@
 from workspond.downstream.listener import Listener
 from workspond.node import Node
 
-SHORTAGE_S = 0.5
+SHORTAGE_DURATION_S = 0.5
 USUAL_DESCRIPTOR_LIMIT = 1024
 
 
@@ -88,7 +88,7 @@
                     client = socket.create_connection(environment.address, WAIT_TIMEOUT_S)
                     client.sendall(request(f"{number}"))
                     clients.append(client)
-                await asyncio.sleep(SHORTAGE_S)
+                await asyncio.sleep(SHORTAGE_DURATION_S)
             for client in clients:
                 assert is_ok(await receive(client))
                 client.close()
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("error", ACCEPT_ERRNOS, ids=[errno.errorcode[number] for number in ACCEPT_ERRNOS])
-def test_a_failure_to_accept_does_not_keep_clients_from_being_served(error: int, tmp_path: Path) -> None:
+def test_clients_are_served_after_accept_has_failed(error: int, tmp_path: Path) -> None:
     async def test() -> None:
         async with node_environment(tmp_path, Server()) as environment:
             listener = (await ready_node(environment)).frontend._listener
@@ -152,7 +152,7 @@
             environment.path.write_text(json.dumps(environment.config | {"discovery": new_agent.address}))
             with no_free_descriptor(program.process.pid):
                 program.process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(SHORTAGE_S)
+                await asyncio.sleep(SHORTAGE_DURATION_S)
             await until(lambda: bool(new_agent.received))
         await new_agent.stop()
 
@@ -175,9 +175,9 @@
     run(test())
 
 
-@pytest.mark.parametrize(("error", "attempts"), [(errno.EMFILE, 4), (errno.EADDRINUSE, 1)])
+@pytest.mark.parametrize(("error", "expected_calls"), [(errno.EMFILE, 4), (errno.EADDRINUSE, 1)])
 def test_listening_at_the_start_is_retried_after_a_shortage_but_not_for_an_address_in_use(
-    error: int, attempts: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    error: int, expected_calls: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A node that restarts while descriptors run short must not exit with status 2."""
     monkeypatch.setattr("workspond.__main__.LISTEN_RETRY_INTERVAL_S", 0.01)
@@ -194,7 +194,7 @@
             environment.node = Node(read_config(str(environment.path)), asyncio.get_running_loop())
             failing = functools.partial(fail_three_times, Listener)
             monkeypatch.setattr("workspond.downstream.frontend.Listener", failing)
-            if attempts > 1:
+            if expected_calls > 1:
                 environment.address = await listen(environment.node, ("127.0.0.1", 0))
                 environment.node.start()
                 await ready_node(environment)
@@ -202,6 +202,6 @@
             else:
                 with pytest.raises(OSError, match="forced"):
                     await listen(environment.node, ("127.0.0.1", 0))
-            assert len(calls) == attempts
+            assert len(calls) == expected_calls
 
     run(test())
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -52,7 +52,9 @@
     os.set_blocking(writer, True)
 
 
-async def start_with(environment: NodeEnvironment, stderr: int | None, closed: tuple[int, ...] = ()) -> None:
+async def start_program(
+    environment: NodeEnvironment, stderr: int | None, closed: tuple[int, ...] = ()
+) -> None:
     """Start the program with the given standard error, or with some descriptors closed.
 
     Returns once the program watches the discovery agent.
@@ -75,11 +77,11 @@
 
 
 def test_a_node_whose_log_pipe_is_full_serves(full_pipe: tuple[int, int], tmp_path: Path) -> None:
-    """Guards against blocking in the first log line, which keeps the node from becoming ready."""
+    """A blocking write of the first log line would keep the node from becoming ready."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
-            await start_with(environment, full_pipe[1])
+            await start_program(environment, full_pipe[1])
             assert (await environment.send_request("a")).status == 200
 
     run(test())
@@ -93,19 +95,20 @@
     async def test() -> None:
         reader, writer = pipe
         async with node_environment(tmp_path, Server(default=RESET), start=False) as environment:
-            await start_with(environment, writer)
-            size = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
+            await start_program(environment, writer)
+            pipe_size_bytes = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
             fill_pipe(writer)
             for n in range(5):
-                assert (await environment.send_request(f"{n}", "pay")).status == 502  # each writes a line
-            os.read(reader, size)
+                # Each failure is one log line.
+                assert (await environment.send_request(f"{n}", "pay")).status == 502
+            os.read(reader, pipe_size_bytes)
             assert (await environment.send_request("after", "pay")).status == 502
             os.set_blocking(reader, False)
             text = b""
             async with asyncio.timeout(10.0):
                 while b"request=after " not in text:
                     with contextlib.suppress(BlockingIOError):
-                        text += os.read(reader, size)
+                        text += os.read(reader, pipe_size_bytes)
                     await asyncio.sleep(0.01)
             assert b"(5 log lines dropped)" in text
 
@@ -139,7 +142,7 @@
     async def test() -> None:
         stderr = open_stderr()
         async with node_environment(tmp_path, Server(), start=False) as environment:
-            await start_with(environment, stderr)
+            await start_program(environment, stderr)
             assert (await environment.send_request("a")).status == 200
         os.close(stderr)
 
@@ -150,11 +153,11 @@
 def test_a_node_started_with_closed_standard_descriptors_does_not_log_into_its_sockets(
     closed: tuple[int, ...], tmp_path: Path
 ) -> None:
-    """Otherwise the first socket would get the number of standard error, and log lines written to it."""
+    """Otherwise a socket would get the number of standard error, and log lines would be written to it."""
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(default=RESET), start=False) as environment:
-            await start_with(environment, None, closed)
+            await start_program(environment, None, closed)
             client = await environment.client()
             for n in range(3):
                 assert (await client.send_request(f"{n}", "pay")).status == 502
--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -34,7 +34,7 @@
 class UnrefilledBucket(TokenBucket):
     """A token bucket that is never refilled, however slow the machine is."""
 
-    def refill(self, per_ms: float, most: float, now: float) -> float:
+    def refill(self, rate_per_ms: float, max_tokens: float, now_ms: float) -> float:
         return self.tokens
 
 
--- a/tests/test_response_parser.py
+++ b/tests/test_response_parser.py
@@ -151,7 +151,7 @@
         b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
     ],
-    ids=["no HTTP", "negative length", "two lengths", "upgrade", "bad chunk size"],
+    ids=["not HTTP", "negative length", "two lengths", "upgrade", "bad chunk size"],
 )
 def test_an_invalid_response_is_malformed(rules: ResponseRules, data: bytes) -> None:
     assert feed_parts(rules, data)[1] is ParseState.MALFORMED
@@ -228,7 +228,7 @@
 @pytest.mark.parametrize(
     "trailing_data",
     [response_with_length(b"two", status=500), b"\x00 noise\r\n", HEAD],
-    ids=["response", "no HTTP", "head"],
+    ids=["response", "not HTTP", "head"],
 )
 def test_ignored_trailing_data_only_prevents_reuse_of_the_connection(trailing_data: bytes) -> None:
     parser, state = feed_parts(STRICT, response_with_length(b"one") + trailing_data)
