--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -108,7 +108,7 @@
         ) as environment:
             with socket.socket() as client:
                 await connect_slow_reader(environment, client)
-                client.sendall(b"".join(request(f"{n}") for n in range(8)))
+                client.sendall(b"".join(request(f"{number}") for number in range(8)))
                 await until(lambda: open_connection_count(environment) == 0)
 
     run(test())
@@ -149,9 +149,9 @@
             with socket.socket() as client:
                 connection = await connect_slow_reader(environment, client)
                 client.settimeout(WAIT_TIMEOUT_S)
-                client.sendall(b"".join(request(f"{n}") for n in range(8)))
+                client.sendall(b"".join(request(f"{number}") for number in range(8)))
                 await until(lambda: connection._is_writing_paused)
-                client.sendall(b"".join(request(f"unread-{n}") for n in range(2)))
+                client.sendall(b"".join(request(f"unread-{number}") for number in range(2)))
                 client.shutdown(socket.SHUT_WR)
                 sent_count = len(server.received)
                 while await asyncio.to_thread(client.recv, 65536):
@@ -253,12 +253,12 @@
         server = Server(name="s0")
         async with node_environment(tmp_path, server) as environment:
             node = running_node(environment)
-            for n in range(1, 16):
-                assert (await environment.send_request(f"{n}")).status == 200
+            for number in range(1, 16):
+                assert (await environment.send_request(f"{number}")).status == 200
                 environment.agent.publish(
-                    server.entry(name=f"s{n - 1}", status="left"), server.entry(name=f"s{n}")
+                    server.entry(name=f"s{number - 1}", status="left"), server.entry(name=f"s{number}")
                 )
-                await until(lambda n=n: environment.agent.watches() == n + 1)  # type: ignore[misc]
+                await until(lambda number=number: environment.agent.watches() == number + 1)  # type: ignore[misc]
                 environment.clients.pop().writer.close()
             await until(lambda: open_connection_count(environment) == 0)
             balancer = node._balancer
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -223,9 +223,9 @@
             await until(lambda: len(server.received) == 2)
             server.may_respond.set()
             await pool.outcome(2)
-            for n in range(3, 6):
-                pool.send(f"{n}")
-                await pool.outcome(n)
+            for number in range(3, 6):
+                pool.send(f"{number}")
+                await pool.outcome(number)
             assert len({message.connection for message in server.received[2:]}) == 1
             pool.connection_pool.close_idle(1)
             await until(lambda: server.closed_connections == 2)
@@ -317,9 +317,9 @@
     async def test() -> None:
         server = Server()
         async with pool_with_server(server) as pool:
-            for n in range(20):
+            for number in range(20):
                 attempt = pool.send("a")
-                for _ in range(n % 4):  # the abort comes after 0 to 3 steps of connecting
+                for _ in range(number % 4):  # the abort comes after 0 to 3 steps of connecting
                     await asyncio.sleep(0)
                 attempt.abort(Outcome.CANCELLED)
             assert pool.outcomes == [Outcome.CANCELLED] * 20
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -67,7 +67,7 @@
 
 
 async def status_of(address: Address, data: bytes) -> int:
-    """Send a request on new connections until one connection is not closed; return the response's status."""
+    """Send a request on one new connection after another until a response arrives; return its status."""
     while True:
         # The client raises an AssertionError if its connection is closed without a response.
         with contextlib.suppress(ConnectionError, AssertionError):
@@ -164,7 +164,7 @@
             assert await status_of(environment.address, request("fresh")) == 200
             assert "fresh" in [message.request_id for message in new.received]
 
-            # Opening the new configuration file needs a free descriptor.
+            # The node must have kept a descriptor free to open the new configuration file.
             await idle.connect(limit + 100)
             environment.path.write_text(json.dumps(environment.config | {"discovery": other_agent.address}))
             program.process.send_signal(signal.SIGHUP)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -98,9 +98,9 @@
             await start_program(environment, writer)
             pipe_size_bytes = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
             fill_pipe(writer)
-            for n in range(5):
+            for number in range(5):
                 # Each failure is one log line.
-                assert (await environment.send_request(f"{n}", "pay")).status == 502
+                assert (await environment.send_request(f"{number}", "pay")).status == 502
             os.read(reader, pipe_size_bytes)
             assert (await environment.send_request("after", "pay")).status == 502
             os.set_blocking(reader, False)
@@ -159,8 +159,8 @@
         async with node_environment(tmp_path, Server(default=RESET), start=False) as environment:
             await start_program(environment, None, closed)
             client = await environment.client()
-            for n in range(3):
-                assert (await client.send_request(f"{n}", "pay")).status == 502
+            for number in range(3):
+                assert (await client.send_request(f"{number}", "pay")).status == 502
             [process] = environment.processes
             targets = [os.readlink(f"/proc/{process.pid}/fd/{number}") for number in closed]
             assert targets == ["/dev/null"] * len(closed)
--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -45,8 +45,8 @@
         async with node_environment(tmp_path, Server(default=render_response(500))) as environment:
             assert environment.node is not None
             environment.node._requests._tracer._rate_limit = UnrefilledBucket(tokens=MAX_LINES, now_ms=0.0)
-            for n in range(MAX_LINES + 3):
-                await environment.send_request(f"{n}", "pay")
+            for number in range(MAX_LINES + 3):
+                await environment.send_request(f"{number}", "pay")
 
     run(test())
     assert sum(text.startswith("request ") for text in caplog.messages) == MAX_LINES
--- a/workspond/downstream/socket_state.py
+++ b/workspond/downstream/socket_state.py
@@ -28,7 +28,7 @@
 
 
 def has_client_closed(connection: socket.socket) -> bool:
-    """Return whether the client has closed the connection or its sending side, even behind unread data."""
+    """Return whether the client has closed the connection or its sending side, even if data is unread."""
     return _poll(connection, select.POLLRDHUP)
 
 
--- a/workspond/http/response.py
+++ b/workspond/http/response.py
@@ -24,7 +24,7 @@
 
 
 def render(response: Response, *, close: bool) -> bytes:
-    """Render a response as one string of bytes, so that a single write can send it.
+    """Render a response as one bytes object, so that a single write can send it.
 
     Args:
         response: The response.
--- a/workspond/upstream/connection.py
+++ b/workspond/upstream/connection.py
@@ -27,7 +27,7 @@
 """
 
 REJECTION_STATUSES = (503, 504)
-"""The statuses that, together with `X-Rejected: 1`, mean that the server has not run the request."""
+"""The statuses that, with `X-Rejected: 1`, report that the server has not run the request."""
 
 RESPONSE_RULES = ResponseRules(
     header_names=frozenset((b"content-type", b"x-rejected", b"x-load-report")),
--- a/workspond/upstream/request_writer.py
+++ b/workspond/upstream/request_writer.py
@@ -7,7 +7,7 @@
 
 
 def render_request(message: ClientRequest, address: Address, timeout_ms: float) -> bytes:
-    """Render a request as one string of bytes, so that a single write can send it.
+    """Render a request as one bytes object, so that a single write can send it.
 
     Args:
         message: The client's request.
