--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -134,7 +134,7 @@
             ),
             Patch(
                 SELECTION,
-                "rotation, (server.in_flight - stalled_calls) / server.subset_weight, weight)",
+                "rotation, (server.in_flight - stalled_attempts) / server.subset_weight, weight)",
                 "rotation, 0.0, weight)",
             ),
         ),
--- a/tests/reference_selection.py
+++ b/tests/reference_selection.py
@@ -21,21 +21,21 @@
 def reference_subset(
     weights: dict[int, float], replica_index: int, replicas: int, slice_count: int
 ) -> dict[int, float]:
-    """Return a replica's portion of each member's weight, by cutting its slice out of each shuffle."""
+    """Return a replica's subset weight of each member, by cutting its slice out of each shuffle."""
     if slice_count >= replicas:
         return dict(weights)
     slice_weight = sum(weights.values()) / replicas
     replica_index %= replicas
     start = replica_index * slice_weight
     end = (replica_index + 1) * slice_weight
-    portions = dict.fromkeys(weights, 0.0)
+    subset_weights = dict.fromkeys(weights, 0.0)
     for number in range(slice_count):
         factor = Random(number).getrandbits(32) | 1
         position = 0.0
         for _, member in sorted((member * factor % 2**32, member) for member in weights):
-            portions[member] += max(0.0, min(position + weights[member], end) - max(position, start))
+            subset_weights[member] += max(0.0, min(position + weights[member], end) - max(position, start))
             position += weights[member]
-    return portions
+    return subset_weights
 
 
 class CheckedSelector(ServerSelector):
@@ -67,9 +67,9 @@
         usable = [server for server in available if now_ms >= server.ejected_until_ms] or available
         if call.last_server is not None and len(usable) > 1:
             usable = [server for server in usable if server is not call.last_server]
-        # The cached number of stalled calls is used, because it also depends on the typical delay.
+        # The cached number of stalled attempts is used, because it also depends on the typical delay.
         loads = [
-            (server.in_flight - server.selection.stalled_calls) / server.subset_weight for server in usable
+            (server.in_flight - server.selection.stalled_attempts) / server.subset_weight for server in usable
         ]
         min_load = min(loads, default=0.0)
         return [server for server, load in zip(usable, loads, strict=True) if load <= min_load]
@@ -83,13 +83,13 @@
             return False
         speed_factor = server.speed_factor(now_ms, self._typical_delay.objective_ratio)
         weight = server.subset_weight * capacity_fraction * speed_factor
-        # The weight of a server with calls in flight is not compared: it depends on the typical delay, which
-        # changes abruptly in these runs, and is soon computed again.
+        # The weight of a server with attempts in flight is not compared: it depends on the typical delay,
+        # which changes abruptly in these runs, and is soon computed again.
         unchanged = (
             math.isclose(server.selection.effective_weight, weight, rel_tol=CACHED_WEIGHT_TOLERANCE)
             or weight < MIN_COMPARED_WEIGHT_FRACTION * server.subset_weight
         )
-        assert server.calls_in_flight or unchanged
+        assert server.attempts_in_flight or unchanged
         return server.in_flight < server.in_flight_limit
 
     def _check_round(self, picked: Server, candidates: list[Server], gained: dict[int, float]) -> None:
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -120,7 +120,7 @@
     weights: dict[int, float] = {}
     subset = Subset(replica_index, replicas, 4)
     for _ in range(12):
-        before = dict(subset.portions)
+        before = dict(subset.subset_weights)
         for member in rng.sample(range(200), rng.choice((1, 2, 150))):
             if rng.random() < 0.4:
                 weights.pop(member, None)
@@ -132,10 +132,12 @@
         subset.set_slice_count(slice_count)
         changed = subset.update()
         reference = reference_subset(weights, replica_index, replicas, slice_count)
-        expected = {member: portion for member, portion in reference.items() if portion > 1e-9}
-        assert subset.portions == pytest.approx(expected)
-        members = before.keys() | subset.portions
-        assert {m for m in members if before.get(m) != subset.portions.get(m)} <= changed
+        expected = {
+            member: subset_weight for member, subset_weight in reference.items() if subset_weight > 1e-9
+        }
+        assert subset.subset_weights == pytest.approx(expected)
+        members = before.keys() | subset.subset_weights
+        assert {m for m in members if before.get(m) != subset.subset_weights.get(m)} <= changed
 
 
 def test_deduplication_groups_after_random_changes_sample_all_members_evenly() -> None:
--- a/workspond/policy/admission.py
+++ b/workspond/policy/admission.py
@@ -65,7 +65,7 @@
         return sample < shed_fraction - lower_priority_fraction
 
     def at_concurrency_limit(
-        self, call: Call, in_flight: int, count_stalled_calls: Callable[[float], int], now_ms: float
+        self, call: Call, in_flight: int, count_stalled_attempts: Callable[[float], int], now_ms: float
     ) -> bool:
         """Return whether the request has to wait until fewer attempts are in flight.
 
@@ -74,7 +74,7 @@
         Args:
             call: The request to be sent.
             in_flight: The number of attempts of this replica in flight.
-            count_stalled_calls: Takes the current time and returns how many of these attempts no server is
+            count_stalled_attempts: Takes the current time and returns how many of these attempts no server is
                 working on.
             now_ms: The current time.
         """
@@ -86,7 +86,7 @@
         # Stalled attempts are not counted: an attempt on a dropped connection puts no load on a server, but
         # would occupy a large part of a small limit until it times out. The drawback: where one class takes
         # far longer than the others, some of its attempts count as stalled and too many are admitted.
-        active = in_flight - count_stalled_calls(now_ms)
+        active = in_flight - count_stalled_attempts(now_ms)
         return active >= unreserved_limit and (active >= limit or not self._has_highest_priority(call))
 
     def _has_highest_priority(self, call: Call) -> bool:
--- a/workspond/policy/attempt_sender.py
+++ b/workspond/policy/attempt_sender.py
@@ -9,7 +9,7 @@
 from workspond.policy.retry_controller import DELAY_SAMPLES
 from workspond.policy.retry_policy import RetryPolicy
 from workspond.policy.server import Server
-from workspond.policy.server_measurements import CallInFlight
+from workspond.policy.server_measurements import AttemptInFlight
 from workspond.policy.server_selection import ServerSelector
 from workspond.policy.settings import Idempotency
 
@@ -37,13 +37,13 @@
         call.attempt_in_flight = True
         call.last_server = server
         call.sent_at_ms = now_ms
-        call.connection_idle_ms = 0.0 if server.calls_in_flight else now_ms - server.last_used_at_ms
+        call.connection_idle_ms = 0.0 if server.attempts_in_flight else now_ms - server.last_used_at_ms
         actions: list[PolicyAction] = []
         # After a long idle time the connections may have been dropped, and an attempt on one would be lost.
         if self._idle_timeout.is_exceeded(call.connection_idle_ms):
             actions.append(CloseIdleConnections(server.id))
             call.connection_idle_ms = 0.0
-        server.calls_in_flight[call.id] = CallInFlight(now_ms, call.request_class.objective_ms)
+        server.attempts_in_flight[call.id] = AttemptInFlight(now_ms, call.request_class.objective_ms)
         self._selector.update(server, now_ms)
         actions.append(self._send_action(call, server, now_ms))
         return actions
--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -188,7 +188,7 @@
 
     def _at_concurrency_limit(self, call: Call, now_ms: float) -> bool:
         return self.admission.at_concurrency_limit(
-            call, self.in_flight, self._selector.count_stalled_calls, now_ms
+            call, self.in_flight, self._selector.count_stalled_attempts, now_ms
         )
 
     def _enqueue(self, call: Call, now_ms: float) -> None:
--- a/workspond/policy/fleet.py
+++ b/workspond/policy/fleet.py
@@ -14,8 +14,8 @@
 from workspond.policy.subset import Subset
 from workspond.policy.token_bucket import TokenBucket
 
-# The number of slices of the fleet that a replica uses at first. A small number keeps the subset small, so
-# that the replica sends to each of its servers often and has recent measurements of them.
+# The number of slices of the fleet that a replica uses at first; see `Subset`. A small number keeps the
+# subset small, so that the replica sends to each of its servers often and has recent measurements of them.
 INITIAL_SLICES = 4
 
 
@@ -62,12 +62,12 @@
 
     @property
     def slice_count(self) -> int:
-        """The number of slices of the fleet that this replica uses."""
+        """The number of slices of the fleet that this replica uses; see `Subset`."""
         return self._subset.slice_count
 
     @property
     def slice_size(self) -> float:
-        """The size of one slice: the number of servers in service, divided by the number of replicas."""
+        """The mean number of servers in a slice: those in service, divided by the number of replicas."""
         return len(self._subset) / self._replicas
 
     def is_in_subset(self, server: Server) -> bool:
@@ -75,7 +75,7 @@
         return self._subset_servers.get(server.id) is server
 
     def is_current(self, server: Server) -> bool:
-        """Return whether a server is still listed and has not restarted since the object was created."""
+        """Return whether a server is still listed and has not restarted since its object was created."""
         return self.servers.get(server.id) is server
 
     def apply(self, update: EndpointUpdate, now_ms: float) -> SubsetChange:
@@ -100,7 +100,11 @@
         return change
 
     def grow_subset(self, now_ms: float) -> SubsetChange:
-        """Double the number of slices for a busy replica, unless it uses the whole fleet already."""
+        """Double the number of slices for a busy replica, unless it uses the whole fleet already.
+
+        Returns:
+            The change of this replica's subset.
+        """
         change = SubsetChange()
         if self.slice_count < self._replicas:
             self._subset.set_slice_count(2 * self.slice_count)
@@ -108,7 +112,7 @@
         return change
 
     def sample_deduplication_group(self, call: Call, max_count: int) -> list[Server]:
-        """Return at most `max_count` servers of the deduplication group of a call that may have run."""
+        """Return at most `max_count` servers of a call's deduplication group; the call may have run."""
         key = (call.request_class.deduplication_scope, call.deduplication_group)
         return self._deduplication_groups.sample(key, max_count, self._rng)
 
@@ -157,34 +161,36 @@
     def _update_subset(self, now_ms: float, change: SubsetChange) -> None:
         """Update this replica's subset.
 
-        Without subsets every replica would need connections to every server: too many in a large fleet.
+        Without subsets every replica would need connections to every server, too many in a large fleet.
         """
         changed_ids = self._subset.update()
         for server_id in changed_ids:
-            portion = self._subset.portions.get(server_id)
-            if portion is None:
+            subset_weight = self._subset.subset_weights.get(server_id)
+            if subset_weight is None:
                 self._remove_from_subset(server_id, change)
             else:
-                self._set_portion(self.servers[server_id], portion, now_ms, change)
+                self._set_subset_weight(self.servers[server_id], subset_weight, now_ms, change)
         if changed_ids:
-            self.total_subset_weight = sum(self._subset.portions.values())
+            self.total_subset_weight = sum(self._subset.subset_weights.values())
 
     def _remove_from_subset(self, server_id: int, change: SubsetChange) -> None:
         """Remove a server from the subset, if it is a member.
 
-        It may still get retries that have to go to its deduplication group.
+        The server may still get retries that have to go to its deduplication group.
         """
         server = self._subset_servers.pop(server_id, None)
         if server is not None:
             server.subset_weight = server.listed_weight
             change.removed.append(server)
 
-    def _set_portion(self, server: Server, portion: float, now_ms: float, change: SubsetChange) -> None:
-        """Set the portion of a server's weight that this replica uses; add the server to the subset."""
+    def _set_subset_weight(
+        self, server: Server, subset_weight: float, now_ms: float, change: SubsetChange
+    ) -> None:
+        """Set the subset weight of a server, and add the server to the subset if it is not a member."""
         if server.id not in self._subset_servers:
             self._subset_servers[server.id] = server
-            # A server outside the subset accumulates no budget: it starts with less than one token.
+            # No budget accumulates while a server is outside the subset: it starts with less than one token.
             tokens = min(server.slow_start_budget.tokens, self._rng.random())
             server.slow_start_budget = TokenBucket(tokens, now_ms)
-        server.subset_weight = portion
+        server.subset_weight = subset_weight
         change.updated.append(server)
--- a/workspond/policy/outcome_recorder.py
+++ b/workspond/policy/outcome_recorder.py
@@ -9,7 +9,7 @@
 from workspond.policy.request_statistics import TypicalDelay
 from workspond.policy.retry_controller import RetryController
 from workspond.policy.server import Server
-from workspond.policy.server_measurements import CallInFlight
+from workspond.policy.server_measurements import AttemptInFlight
 from workspond.policy.server_selection import ServerSelector
 
 
@@ -39,7 +39,7 @@
             event: How the attempt ended.
             now_ms: The current time.
         """
-        in_flight = server.calls_in_flight.pop(event.request_id, None)
+        in_flight = server.attempts_in_flight.pop(event.request_id, None)
         server.last_used_at_ms = now_ms
         if call is not None and call.connection_idle_ms:
             self._record_idle_connection(call, event)
@@ -62,7 +62,7 @@
         )
 
     def _record_delay(
-        self, server: Server, in_flight: CallInFlight, event: AttemptEnded, now_ms: float
+        self, server: Server, in_flight: AttemptInFlight, event: AttemptEnded, now_ms: float
     ) -> None:
         """Record the delay of an attempt, even if its request has been abandoned.
 
--- a/workspond/policy/selection_state.py
+++ b/workspond/policy/selection_state.py
@@ -18,7 +18,7 @@
         current_weight: The server's current weight while it is in no rotation.
         effective_weight: The server's effective weight; 0 until it is computed for the first time.
         counted_weight: The weight that the selector's total includes for the server.
-        stalled_calls: The stalled calls that the selector's total includes for the server.
+        stalled_attempts: The number of stalled attempts that the selector's total includes for the server.
         is_ejected: Whether the selector's number of ejected servers includes the server.
         refresh_at_ms: The time at which these values have to be computed again; infinite if none is known.
     """
@@ -27,7 +27,7 @@
     current_weight: float = 0.0
     effective_weight: float = 0.0
     counted_weight: float = 0.0
-    stalled_calls: int = 0
+    stalled_attempts: int = 0
     is_ejected: bool = False
     refresh_at_ms: float = math.inf
 
--- a/workspond/policy/server_measurements.py
+++ b/workspond/policy/server_measurements.py
@@ -1,7 +1,7 @@
 """This replica's measurements of a server, and the speed factor derived from them.
 
 A server counts as slow because of its latency relative to its peers, the queue length that it reports, or the
-age of its calls in flight. The three signals are combined into one factor of the server's weight.
+age of its attempts in flight. The three signals are combined into one factor of the server's weight.
 """
 
 from __future__ import annotations
@@ -9,56 +9,57 @@
 import math
 from dataclasses import dataclass
 
-# The relative latency of a server is its latency divided by that of its peers. Each latency is a ratio of the
+# Relative latency: the latency of a server divided by that of its peers, where each latency is a ratio of the
 # objective.
 SLOW_LATENCY_RATIO = 1.5  # a server with a higher relative latency counts as slow
-SLOW_LATENCY_EXPONENT = 4.0  # a steep decrease of the weight lets a slow server recover
+SLOW_LATENCY_EXPONENT = 4.0  # the weight decreases steeply, so that a slow server can recover
 MAX_LATENCY_RATIO = 10.0  # upper bound of one sample of the relative latency
 LATENCY_SAMPLES = 3.0  # number of samples over which the relative latency is averaged
 LATENCY_DECAY_MS = 10_000.0  # time constant of the decay of the relative latency to 1
 
-# The reported queue of a server is the number of waiting requests in its last load report.
+# Reported queue: the number of waiting requests in the last load report of a server.
 QUEUE_DECAY_MS = 5_000.0  # time constant of the decay of the reported queue to 0
 QUEUE_EXPONENT = 3  # the weight is divided by (1 + queue) to this power
 MIN_QUEUE = 0.01  # a queue that has decayed to fewer requests counts as empty
 
-# The age ratio of a call in flight is its age divided by the typical delay.
-# The oldest call not overtaken counts like a relative latency of its age ratio divided by this.
+# Age ratio: the age of an attempt in flight divided by the typical delay. An attempt is overtaken if its
+# server has answered an attempt that was sent later.
+# The age ratio of the oldest attempt not overtaken, divided by this, counts as a relative latency.
 OVERDUE_AGE_RATIO = 1.5
-# A call with a higher age ratio counts as stalled, that is lost by its server, if a later call was answered.
+# An overtaken attempt with a higher age ratio counts as stalled: its server has probably lost it.
 STALLED_AGE_RATIO = 4.0
-MIN_OVERDUE_CHECK_MS = 1.0  # minimum time between two checks of an overdue call
-STALLED_CHECK_DELAY_MS = 1.0  # time from the moment at which a call becomes stalled to the check
+MIN_OVERDUE_CHECK_MS = 1.0  # minimum time between two checks of an overdue attempt
+STALLED_CHECK_DELAY_MS = 1.0  # time from the moment at which an attempt becomes stalled to the check
 
 # A server's weight is computed again as soon as one of its inputs has changed it by this fraction.
 WEIGHT_TOLERANCE = 0.1
 
 
 @dataclass(slots=True)
-class CallInFlight:
-    """A call that was sent to a server and has not been answered yet."""
+class AttemptInFlight:
+    """An attempt that was sent to a server and has not ended yet."""
 
     sent_at_ms: float
-    objective_ms: float  # the latency objective of its class
+    objective_ms: float  # the latency objective of the request's class
 
 
 class ServerMeasurements:
     """This replica's measurements of one server.
 
-    In the methods, `objective_ratio` is the typical delay of all servers, divided by the objective; 0 while
-    no answer has been received.
+    In the methods, `objective_ratio` is the typical delay of the attempts to all servers, divided by the
+    objective; 0 before the first delay is recorded.
 
     Attributes:
-        calls_in_flight: This replica's calls in flight at the server, by request id, the oldest first.
-        latest_answered_sent_at_ms: The latest send time of the calls that the server has answered.
+        attempts_in_flight: This replica's attempts in flight at the server, by request id, the oldest first.
+        latest_answered_sent_at_ms: The latest send time of the attempts that the server has answered.
         reported_queue: The number of waiting requests in the server's last load report.
         reported_at_ms: The time of that load report.
-        relative_latency: The average of the server's latency, divided by the latency of its peers.
+        relative_latency: The average latency of the server, divided by the latency of its peers.
         relative_latency_at_ms: The time at which the relative latency was last recorded.
     """
 
     __slots__ = (
-        "calls_in_flight",
+        "attempts_in_flight",
         "latest_answered_sent_at_ms",
         "reported_queue",
         "reported_at_ms",
@@ -67,7 +68,7 @@
     )
 
     def __init__(self, now_ms: float) -> None:
-        self.calls_in_flight: dict[str, CallInFlight] = {}
+        self.attempts_in_flight: dict[str, AttemptInFlight] = {}
         self.latest_answered_sent_at_ms = -math.inf
         self.reported_queue = 0.0
         self.reported_at_ms = now_ms
@@ -76,11 +77,11 @@
 
     @property
     def in_flight(self) -> int:
-        """The number of this replica's calls in flight."""
-        return len(self.calls_in_flight)
+        """The number of this replica's attempts in flight at the server."""
+        return len(self.attempts_in_flight)
 
     def record_latency(self, ratio: float, now_ms: float) -> None:
-        """Record the delay of one answer, divided by the typical delay of all servers."""
+        """Record the delay of an attempt, divided by the typical delay of the attempts to all servers."""
         relative_latency = self._relative_latency_at(now_ms)
         sample = min(ratio, MAX_LATENCY_RATIO)
         self.relative_latency = relative_latency + (sample - relative_latency) / LATENCY_SAMPLES
@@ -92,11 +93,11 @@
         if self.relative_latency > SLOW_LATENCY_RATIO:
             slowness = max(self._relative_latency_at(now_ms), SLOW_LATENCY_RATIO)
         if (
-            self.calls_in_flight
+            self.attempts_in_flight
             and objective_ratio
-            and (call := self._oldest_call_not_overtaken()) is not None
+            and (attempt := self._oldest_attempt_not_overtaken()) is not None
         ):
-            age_ratio = (now_ms - call.sent_at_ms) / (objective_ratio * call.objective_ms)
+            age_ratio = (now_ms - attempt.sent_at_ms) / (objective_ratio * attempt.objective_ms)
             slowness = max(slowness, age_ratio / OVERDUE_AGE_RATIO)
         factor = 1.0
         if slowness > SLOW_LATENCY_RATIO:
@@ -104,16 +105,16 @@
         queue = self._queue_at(now_ms) if self.reported_queue else 0.0
         return factor / (1.0 + queue) ** QUEUE_EXPONENT if queue else factor
 
-    def count_stalled_calls(self, now_ms: float, objective_ratio: float) -> int:
-        """Return the number of stalled calls: those in flight that the server seems to have lost."""
+    def count_stalled_attempts(self, now_ms: float, objective_ratio: float) -> int:
+        """Return the number of stalled attempts: those in flight that the server has probably lost."""
         return sum(
-            call.sent_at_ms < self.latest_answered_sent_at_ms
-            and now_ms - call.sent_at_ms > STALLED_AGE_RATIO * objective_ratio * call.objective_ms
-            for call in self.calls_in_flight.values()
+            attempt.sent_at_ms < self.latest_answered_sent_at_ms
+            and now_ms - attempt.sent_at_ms > STALLED_AGE_RATIO * objective_ratio * attempt.objective_ms
+            for attempt in self.attempts_in_flight.values()
         )
 
     def next_speed_change_at_ms(self, now_ms: float, objective_ratio: float) -> float:
-        """Return when the speed factor or the stalled calls will have changed without any event."""
+        """Return when time alone will have changed the speed factor or the number of stalled attempts."""
         change_at_ms = math.inf
         relative_latency = 1.0
         if self.relative_latency > SLOW_LATENCY_RATIO:
@@ -122,7 +123,7 @@
             change_at_ms = self._latency_decay_at_ms(relative_latency, now_ms)
         if self.reported_queue and (queue := self._queue_at(now_ms)):
             change_at_ms = min(change_at_ms, self._queue_decay_at_ms(queue, now_ms))
-        if self.calls_in_flight and objective_ratio:
+        if self.attempts_in_flight and objective_ratio:
             slowness = max(relative_latency, SLOW_LATENCY_RATIO)
             overdue_at_ms = self._overdue_change_at_ms(slowness, now_ms, objective_ratio)
             stalled_at_ms = self._next_stall_at_ms(now_ms, objective_ratio)
@@ -137,16 +138,16 @@
         queue = self.reported_queue * math.exp((self.reported_at_ms - now_ms) / QUEUE_DECAY_MS)
         return queue if queue >= MIN_QUEUE else 0.0
 
-    def _oldest_call_not_overtaken(self) -> CallInFlight | None:
-        """Return the oldest call in flight of which no later call was answered; None if there is none."""
-        # The age of the oldest call reveals an unresponsive server long before the call times out. A call
-        # that later ones have overtaken is no evidence against the server: its connection was lost, or this
-        # one call takes long. When such calls were counted too, two dead connections kept two healthy servers
-        # idle for seconds. The drawback: a server that answers a few calls and loses the others is detected
-        # only when these time out.
-        for call in self.calls_in_flight.values():
-            if call.sent_at_ms >= self.latest_answered_sent_at_ms:
-                return call
+    def _oldest_attempt_not_overtaken(self) -> AttemptInFlight | None:
+        """Return the oldest attempt in flight that is not overtaken; None if there is none."""
+        # The age of the oldest attempt reveals an unresponsive server long before the attempt times out. An
+        # overtaken attempt is no evidence against the server: its connection was lost, or its request takes
+        # long. When such attempts were counted too, two dead connections kept two healthy servers idle for
+        # seconds. The drawback: a server that answers a few attempts and loses the others is detected only
+        # when these time out.
+        for attempt in self.attempts_in_flight.values():
+            if attempt.sent_at_ms >= self.latest_answered_sent_at_ms:
+                return attempt
         return None
 
     @staticmethod
@@ -167,19 +168,21 @@
         return now_ms + WEIGHT_TOLERANCE * QUEUE_DECAY_MS * (1.0 + queue) / queue / QUEUE_EXPONENT
 
     def _overdue_change_at_ms(self, slowness: float, now_ms: float, objective_ratio: float) -> float:
-        """Return when the age of the oldest call not overtaken will have changed the weight notably."""
-        call = self._oldest_call_not_overtaken()
-        if call is None:
+        """Return when the age of the oldest attempt not overtaken will have changed the weight notably."""
+        attempt = self._oldest_attempt_not_overtaken()
+        if attempt is None:
             return math.inf
-        overdue_at_ms = call.sent_at_ms + OVERDUE_AGE_RATIO * slowness * objective_ratio * call.objective_ms
-        step_ms = WEIGHT_TOLERANCE / SLOW_LATENCY_EXPONENT * (now_ms - call.sent_at_ms)
+        overdue_at_ms = (
+            attempt.sent_at_ms + OVERDUE_AGE_RATIO * slowness * objective_ratio * attempt.objective_ms
+        )
+        step_ms = WEIGHT_TOLERANCE / SLOW_LATENCY_EXPONENT * (now_ms - attempt.sent_at_ms)
         return max(overdue_at_ms, now_ms + max(MIN_OVERDUE_CHECK_MS, step_ms))
 
     def _next_stall_at_ms(self, now_ms: float, objective_ratio: float) -> float:
-        """Return when the next overtaken call will be checked for being stalled."""
+        """Return when to check the next overtaken attempt for being stalled; infinite if there is none."""
         next_at_ms = math.inf
-        for call in self.calls_in_flight.values():
-            stalled_at_ms = call.sent_at_ms + STALLED_AGE_RATIO * objective_ratio * call.objective_ms
-            if call.sent_at_ms < self.latest_answered_sent_at_ms and now_ms <= stalled_at_ms:
+        for attempt in self.attempts_in_flight.values():
+            stalled_at_ms = attempt.sent_at_ms + STALLED_AGE_RATIO * objective_ratio * attempt.objective_ms
+            if attempt.sent_at_ms < self.latest_answered_sent_at_ms and now_ms <= stalled_at_ms:
                 next_at_ms = min(next_at_ms, stalled_at_ms + STALLED_CHECK_DELAY_MS)
         return next_at_ms
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -34,7 +34,8 @@
     Attributes:
         server: The server.
         weight: The server's effective weight.
-        load: The number of this replica's calls that the server is working on, divided by its subset weight.
+        load: The number of this replica's attempts in flight at the server, without stalled ones, divided by
+            the server's subset weight.
     """
 
     server: Server
@@ -60,7 +61,7 @@
         self._refresh_serials = itertools.count()
         self._total_weight = 0.0  # of the servers in the subset whose slow-start budget allows an attempt
         self._last_round_total_weight = 0.0  # of the servers that took part in the last round
-        self._stalled_calls = 0
+        self._stalled_attempts = 0
         self._ejected_count = 0
 
     # State of the servers
@@ -82,12 +83,14 @@
             server, capacity_fraction, now_ms
         )
         weight = self._effective_weight(server, capacity_fraction, now_ms)
-        stalled_calls = server.count_stalled_calls(now_ms, objective_ratio) if server.calls_in_flight else 0
+        stalled_attempts = (
+            server.count_stalled_attempts(now_ms, objective_ratio) if server.attempts_in_flight else 0
+        )
         is_ejected = now_ms < server.ejected_until_ms
-        self._update_totals(server, weight if has_budget else 0.0, stalled_calls, is_ejected=is_ejected)
+        self._update_totals(server, weight if has_budget else 0.0, stalled_attempts, is_ejected=is_ejected)
         selectable = has_budget and server.in_flight < server.in_flight_limit
         rotation = (self._ejected if is_ejected else self._healthy) if selectable else None
-        self._place(server, rotation, (server.in_flight - stalled_calls) / server.subset_weight, weight)
+        self._place(server, rotation, (server.in_flight - stalled_attempts) / server.subset_weight, weight)
         refresh_at_ms = min(
             server.next_speed_change_at_ms(now_ms, objective_ratio),
             self._slow_start.next_change_at_ms(server, capacity_fraction, now_ms),
@@ -114,14 +117,16 @@
         self._update_totals(server, 0.0, 0, is_ejected=False)
         server.selection.refresh_at_ms = math.inf
 
-    def _update_totals(self, server: Server, weight: float, stalled_calls: int, *, is_ejected: bool) -> None:
+    def _update_totals(
+        self, server: Server, weight: float, stalled_attempts: int, *, is_ejected: bool
+    ) -> None:
         """Replace a server's contribution to the totals."""
         state = server.selection
         self._total_weight += weight - state.counted_weight
-        self._stalled_calls += stalled_calls - state.stalled_calls
+        self._stalled_attempts += stalled_attempts - state.stalled_attempts
         self._ejected_count += is_ejected - state.is_ejected
         state.counted_weight = weight
-        state.stalled_calls = stalled_calls
+        state.stalled_attempts = stalled_attempts
         state.is_ejected = is_ejected
 
     def _place(self, server: Server, rotation: Rotation[Server] | None, load: float, weight: float) -> None:
@@ -159,10 +164,10 @@
                 self.update(server, now_ms)
                 refreshed += 1
 
-    def count_stalled_calls(self, now_ms: float) -> int:
-        """Return the number of stalled calls: those in flight that their servers seem to have lost."""
+    def count_stalled_attempts(self, now_ms: float) -> int:
+        """Return the number of stalled attempts: those in flight that their servers have probably lost."""
         self.refresh_due(now_ms)
-        return self._stalled_calls
+        return self._stalled_attempts
 
     def ejected_fraction(self, now_ms: float) -> float:
         """Return the fraction of the servers in this replica's subset that are ejected."""
@@ -267,8 +272,8 @@
         if not server.selection.effective_weight:
             self._randomize_current_weight(server, weight)
             server.selection.effective_weight = weight
-        stalled_calls = server.count_stalled_calls(now_ms, self._typical_delay.objective_ratio)
-        return Candidate(server, weight, (server.in_flight - stalled_calls) / server.subset_weight)
+        stalled_attempts = server.count_stalled_attempts(now_ms, self._typical_delay.objective_ratio)
+        return Candidate(server, weight, (server.in_flight - stalled_attempts) / server.subset_weight)
 
     def _subset_candidate(self, server: Server, now_ms: float) -> Candidate | None:
         """Return a server of this replica's subset as a candidate; None if it may get no attempt now."""
--- a/workspond/policy/subset.py
+++ b/workspond/policy/subset.py
@@ -1,8 +1,9 @@
-"""Deterministic subsetting with incremental updates: the portion of each server's weight that a replica uses.
+"""Deterministic subsetting with incremental updates: which servers a replica uses, and with which weights.
 
 All members are shuffled several times, in the same way at every replica. Each shuffle is cut into as many
-slices of equal weight as there are replicas, and each replica uses one slice of each shuffle. So all replicas
-together use every member in proportion to its weight.
+slices of equal weight as there are replicas, and each replica uses one slice of each shuffle. A slice may cut
+a member in two, so each replica has a subset weight for each member: the sum of the member's weight in the
+replica's slices. All replicas together use every member in proportion to its weight.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from collections import Counter
 from random import Random
 
-MIN_REBUILD_CHANGES = 64  # with fewer changed members, they are inserted and removed one by one
-MIN_PORTION_FRACTION = 1e-9  # a smaller fraction of a member's weight is a rounding error
+MIN_REBUILD_CHANGES = 64  # fewer changed members are inserted and removed one by one
+MIN_SUBSET_WEIGHT_FRACTION = 1e-9  # of the member's weight; less is a rounding error
 
 
 class Shuffle:
@@ -40,45 +41,45 @@
         del self._order[bisect_left(self._order, self._sort_key(member))]
 
     def cut_equal_weights(self, start: float, end: float, weight: float) -> dict[int, float]:
-        """Return the portions of members between `start` and `end` if all members have the same weight.
+        """Return the weight of each member between `start` and `end` if all members have the same weight.
 
         The members' weights are laid end to end; `start` and `end` are positions on that line.
         """
-        portions = {}
+        weights_in_slice = {}
         last = min(len(self._order), math.ceil(end / weight))
         for position in range(int(start / weight), last):
-            portion = min((position + 1) * weight, end) - max(position * weight, start)
-            if portion > 0.0:
-                portions[self._order[position][1]] = portion
-        return portions
+            weight_in_slice = min((position + 1) * weight, end) - max(position * weight, start)
+            if weight_in_slice > 0.0:
+                weights_in_slice[self._order[position][1]] = weight_in_slice
+        return weights_in_slice
 
     def cut(self, start: float, end: float, weights: dict[int, float]) -> dict[int, float]:
-        """Return the portions of members between `start` and `end`, with all weights laid end to end."""
+        """Return the weight of each member between `start` and `end`, if the weights may differ."""
         members = [member for _, member in self._order]
         ends = list(itertools.accumulate(weights[member] for member in members))
-        portions = {}
+        weights_in_slice = {}
         for position in range(bisect_left(ends, start), len(ends)):
             member_end = ends[position]
             member_start = member_end - weights[members[position]]
             if member_start >= end:
                 break
-            portion = min(member_end, end) - max(member_start, start)
-            if portion > 0.0:
-                portions[members[position]] = portion
-        return portions
+            weight_in_slice = min(member_end, end) - max(member_start, start)
+            if weight_in_slice > 0.0:
+                weights_in_slice[members[position]] = weight_in_slice
+        return weights_in_slice
 
 
 class Subset:
-    """The portions of the members' weights that one replica uses.
+    """The members that one replica uses, with their subset weights.
 
     Attributes:
-        slice_count: The number of slices that the replica uses. If it is at least the number of replicas, the
-            replica uses all members with their whole weights.
-        portions: The portion of each member's weight that the replica uses, as of the last update.
+        slice_count: The number of slices that the replica uses, one of each shuffle. If it is at
+            least the number of replicas, the replica uses all members with their whole weights.
+        subset_weights: The subset weight of each member that the replica uses, as of the last update.
     """
 
     def __init__(self, replica_index: int, replicas: int, slice_count: int) -> None:
-        self._replica_index = replica_index % replicas  # without the modulo, a larger index has no slice
+        self._replica_index = replica_index % replicas  # an index above the last slice would have no members
         self._replicas = replicas
         self.slice_count = slice_count
         self._weights: dict[int, float] = {}
@@ -86,8 +87,8 @@
         self._changed_members: set[int] = set()
         self._slice_count_changed = False
         self._shuffles: list[Shuffle] = []
-        self._shuffled_members: set[int] = set()  # the members of all shuffles
-        self.portions: dict[int, float] = {}
+        self._shuffled_members: set[int] = set()  # each shuffle contains exactly these members
+        self.subset_weights: dict[int, float] = {}
 
     def __len__(self) -> int:
         return len(self._weights)
@@ -101,7 +102,7 @@
             self._changed_members.add(member)
 
     def remove(self, member: int) -> None:
-        """Remove a member, if there is one of this id; this takes effect with the next update."""
+        """Remove a member, if it is one; this takes effect with the next update."""
         if member in self._weights:
             self._decrement_weight_count(member)
             del self._weights[member]
@@ -120,10 +121,10 @@
         self.slice_count = slice_count
 
     def update(self) -> set[int]:
-        """Bring `portions` up to date.
+        """Bring `subset_weights` up to date.
 
         Returns:
-            The members that were set or removed since the last update, or whose portion has changed.
+            The members that were set or removed since the last update, or whose subset weight has changed.
         """
         changed = self._changed_members
         self._changed_members = set()
@@ -134,20 +135,20 @@
             return self._use_whole_fleet(changed)
         self._slice_count_changed = False
         self._update_shuffles(changed)
-        return self._replace_portions(self._cut_slices()) | changed
+        return self._replace_subset_weights(self._cut_slices()) | changed
 
     def _use_whole_fleet(self, changed: set[int]) -> set[int]:
         """Use all members with their whole weights; return the members that may have changed."""
         if self._slice_count_changed:
             self._slice_count_changed = False
             all_weights = {member: weight for member, weight in self._weights.items() if weight}
-            return self._replace_portions(all_weights) | changed
+            return self._replace_subset_weights(all_weights) | changed
         for member in changed:
             weight = self._weights.get(member, 0.0)
             if weight:
-                self.portions[member] = weight
+                self.subset_weights[member] = weight
             else:
-                self.portions.pop(member, None)
+                self.subset_weights.pop(member, None)
         return changed
 
     def _update_shuffles(self, changed: set[int]) -> None:
@@ -175,29 +176,31 @@
                 shuffle.remove(member)
 
     def _cut_slices(self) -> dict[int, float]:
-        """Cut this replica's slice out of each shuffle, and sum the portions by member."""
+        """Cut this replica's slice out of each shuffle, and sum the weights by member."""
         total_weight = math.fsum(weight * count for weight, count in self._weight_counts.items())
         slice_weight = total_weight / self._replicas
         start = self._replica_index * slice_weight
         end = (self._replica_index + 1) * slice_weight
         equal_weight = next(iter(self._weight_counts)) if len(self._weight_counts) == 1 else 0.0
-        portions: dict[int, float] = {}
+        subset_weights: dict[int, float] = {}
         for shuffle in self._shuffles:
             if equal_weight:
                 cut = shuffle.cut_equal_weights(start, end, equal_weight)
             else:
                 cut = shuffle.cut(start, end, self._weights)
-            for member, portion in cut.items():
-                portions[member] = portions.get(member, 0.0) + portion
+            for member, subset_weight in cut.items():
+                subset_weights[member] = subset_weights.get(member, 0.0) + subset_weight
         return {
-            member: portion
-            for member, portion in portions.items()
-            if portion > MIN_PORTION_FRACTION * self._weights[member]
+            member: subset_weight
+            for member, subset_weight in subset_weights.items()
+            if subset_weight > MIN_SUBSET_WEIGHT_FRACTION * self._weights[member]
         }
 
-    def _replace_portions(self, portions: dict[int, float]) -> set[int]:
-        """Replace all portions; return the members whose portion has changed."""
-        before = self.portions
-        self.portions = portions
-        changed = {member for member, portion in portions.items() if before.get(member) != portion}
-        return changed | (before.keys() - portions.keys())
+    def _replace_subset_weights(self, subset_weights: dict[int, float]) -> set[int]:
+        """Replace all subset weights; return the members whose subset weight has changed."""
+        before = self.subset_weights
+        self.subset_weights = subset_weights
+        changed = {
+            member for member, subset_weight in subset_weights.items() if before.get(member) != subset_weight
+        }
+        return changed | (before.keys() - subset_weights.keys())
