--- a/workspond/policy/deduplication_groups.py
+++ b/workspond/policy/deduplication_groups.py
@@ -1,6 +1,6 @@
 """Deduplication groups: servers that recognise and drop repeats of each other's requests.
 
-Adding, removing and sampling servers takes constant time, whatever their number.
+The time to add, remove or sample servers does not depend on the number of servers.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from workspond.policy.server import Server
 from workspond.policy.settings import DeduplicationScope
 
-# The scope, and the zone or cell that identifies the group in it; None for the group of all servers.
+# A deduplication scope and the zone or cell that identifies a group in it; None for the group of all servers.
 GroupKey = tuple[DeduplicationScope, str | int | None]
 
 
@@ -32,7 +32,7 @@
         self._servers.append(server)
 
     def remove(self, server: Server) -> None:
-        """Remove a member; the last one takes its position."""
+        """Remove a member; the last member takes its position in the list."""
         position = self._positions.pop(server.id)
         last = self._servers.pop()
         if last is not server:
@@ -53,10 +53,10 @@
 
     def __init__(self) -> None:
         self._groups: dict[GroupKey, ServerGroup] = {}
-        self._keys: dict[int, tuple[GroupKey, ...]] = {}  # the groups of each server, by server id
+        self._keys: dict[int, tuple[GroupKey, ...]] = {}  # the keys of each server's groups, by server id
 
     def assign(self, server: Server, keys: tuple[GroupKey, ...]) -> None:
-        """Make a server a member of these groups only."""
+        """Make a server a member of the groups with these keys, and of no others."""
         self.remove(server)
         self._keys[server.id] = keys
         for key in keys:
@@ -71,6 +71,6 @@
                 del self._groups[key]
 
     def sample(self, key: GroupKey, max_count: int, rng: random.Random) -> list[Server]:
-        """Return at most `max_count` random consecutive servers of a group; [] if there is no such group."""
+        """Return at most `max_count` servers of a group, as `ServerGroup.sample`; [] if there is no group."""
         group = self._groups.get(key)
         return group.sample(max_count, rng) if group is not None else []
--- a/workspond/policy/moving_averages.py
+++ b/workspond/policy/moving_averages.py
@@ -9,7 +9,7 @@
 import math
 from collections import deque
 
-MIN_RATE_SPAN_S = 1.0  # minimum time that a rate is computed over
+MIN_RATE_SPAN_S = 1.0  # a rate is computed over at least this time
 
 
 class EventRate:
@@ -18,7 +18,7 @@
     The observed time begins with the first call of `record`.
 
     Attributes:
-        events: The sum of the recorded events, each weighted by its age.
+        events: The sum of the recorded events, each weighted by its age as of the last `record`.
         span_s: The observed time in seconds, weighted by age like the events; it approaches the time
             constant.
     """
--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -12,23 +12,24 @@
 from workspond.policy.request_statistics import AVERAGING_SAMPLES
 from workspond.policy.server import Server
 
-BASE_EJECTION_MS = 1_000.0  # duration of a first ejection, before jitter
+BASE_EJECTION_MS = 1_000.0  # duration of the first ejection, before jitter
 MAX_EJECTION_DOUBLINGS = 5  # consecutive ejections double the duration up to this many times
-MIN_EJECTION_JITTER = 0.5  # the duration is multiplied by a random factor from this to this + 1
+MIN_EJECTION_JITTER = 0.5  # the duration is multiplied by a random factor between this and this + 1
 MAX_EJECTED_FRACTION = 0.5  # while this fraction of the servers is ejected, none is ejected for errors
 EJECTION_LOG_ODDS = math.log(30.0)  # a server with these odds of being an outlier is ejected
 OUTLIER_ERROR_FRACTION = 0.5  # assumed error fraction of an outlier
 MIN_PEER_ERROR_FRACTION = 0.01  # lower bound of the error fraction that is assumed for the peers
-# After a rejection or a failed connection attempt, the in-flight limit is the calls in flight times this.
+# After a rejection or a failed connection attempt, the in-flight limit is set to this times the number of
+# attempts still in flight, or this times the old limit if that is lower, but at least to 1.
 IN_FLIGHT_LIMIT_DECREASE = 0.9
 
 
 class OutlierEjection:
-    """Ejects servers and limits their calls in flight, according to the outcomes of their attempts."""
+    """Ejects servers and limits their attempts in flight, according to the outcomes of their attempts."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._error_fraction = 0.0  # of recent attempts to all servers
+        self._error_fraction = 0.0  # the fraction of recent attempts to all servers that failed
 
     def record_outcome(
         self, server: Server, outcome: Outcome, ejected_fraction: float, now_ms: float
@@ -38,13 +39,13 @@
         Args:
             server: The server of the attempt.
             outcome: How the attempt ended.
-            ejected_fraction: The fraction of the servers that are currently ejected.
+            ejected_fraction: The fraction of the servers in the subset that are currently ejected.
             now_ms: The current time in ms.
         """
         if outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             in_flight = min(server.in_flight_limit, float(server.in_flight))
             server.in_flight_limit = max(1.0, in_flight * IN_FLIGHT_LIMIT_DECREASE)
-            # If no call is in flight, the server is down or accepts no more connections.
+            # If no other attempt is in flight, the server is down or accepts no more connections.
             if outcome is Outcome.CONNECT_FAILED and not server.in_flight:
                 self._eject(server, now_ms)
         elif outcome is Outcome.SUCCESS:
@@ -58,7 +59,7 @@
         """Update the odds that the server is an outlier, and eject it if they are high.
 
         Latency does not reveal a server that fails fast. So this is a likelihood ratio test: the hypothesis
-        that the server fails half of its calls, against the one that it fails as often as its peers.
+        that the server fails half of its attempts, against the one that it fails as often as its peers.
         """
         is_error = outcome is not Outcome.SUCCESS
         peer_fraction = max(MIN_PEER_ERROR_FRACTION, min(self._error_fraction, OUTLIER_ERROR_FRACTION))
@@ -71,13 +72,13 @@
         if server.error_log_odds >= EJECTION_LOG_ODDS:
             if ejected_fraction < MAX_EJECTED_FRACTION:
                 self._eject(server, now_ms)
-            # After the ejection, fewer errors than before suffice to eject the server again.
+            # The odds do not start from 0 again, so that fewer errors suffice to eject the server again.
             server.error_log_odds = EJECTION_LOG_ODDS / 2.0
         elif not server.error_log_odds:
             server.ejections = 0
 
     def _eject(self, server: Server, now_ms: float) -> None:
-        """Eject a server unless it is ejected already; the duration grows exponentially and has jitter."""
+        """Eject a server unless it is ejected already; consecutive ejections get longer; with jitter."""
         if now_ms >= server.ejected_until_ms:
             doublings = min(server.ejections, MAX_EJECTION_DOUBLINGS)
             jitter = MIN_EJECTION_JITTER + self._rng.random()
--- a/workspond/policy/request_statistics.py
+++ b/workspond/policy/request_statistics.py
@@ -6,7 +6,7 @@
 
 from workspond.policy.settings import RequestClass
 
-AVERAGING_SAMPLES = 100.0  # number of responses that a fleet-wide mean is averaged over
+AVERAGING_SAMPLES = 100.0  # number of attempts over which a mean of all servers is averaged
 
 
 class TypicalDelay:
@@ -33,7 +33,7 @@
 
 
 class ClassStatistics:
-    """Moving averages for each request class, by the name of the class.
+    """The priority weight and moving averages of each request class, by the name of the class.
 
     Attributes:
         priority_weight: The priority weight of the class from the settings.
@@ -54,8 +54,10 @@
 
     def record_request(self, name: str) -> None:
         """Record the arrival of a request of a class."""
-        for other in self.request_fraction:
-            self.request_fraction[other] += ((other == name) - self.request_fraction[other]) / self._samples
+        for class_name in self.request_fraction:
+            self.request_fraction[class_name] += (
+                (class_name == name) - self.request_fraction[class_name]
+            ) / self._samples
 
     def record_end(self, name: str, *, in_time: bool) -> None:
         """Record the end of a request of a class, and whether it was answered within the objective."""
--- a/workspond/policy/server.py
+++ b/workspond/policy/server.py
@@ -11,8 +11,8 @@
 from workspond.policy.settings import DeduplicationScope
 from workspond.policy.token_bucket import TokenBucket
 
-# A start time that is later by no more than this belongs to the same process. Discovery may derive the start
-# time from a clock whenever it is read, and such readings differ slightly.
+# A start time that is later by at most this belongs to the same process. Discovery may derive the start time
+# from a clock each time it is asked, and such readings differ slightly.
 MIN_RESTART_INTERVAL_MS = 100.0
 
 
@@ -24,21 +24,23 @@
 
     Attributes:
         id: The id in the endpoint list.
-        zone: The zone, from the entry.
-        cell: The cell, from the entry.
-        listed_weight: The weight from the entry; at least 0.
+        zone: The zone in the entry.
+        cell: The cell in the entry.
+        listed_weight: The weight in the entry; at least 0.
         in_service: Whether the entry allows new attempts.
-        started_at_ms: The time at which the process started, from the entry; None if that was long ago.
-        subset_weight: The part of the listed weight that is assigned to this replica.
+        started_at_ms: The start time of the process in the entry; None if it started long ago.
+        subset_weight: The weight that this replica uses. In the subset it is the sum of the listed weight's
+            parts in this replica's slices, see `Subset`; outside the subset it is the listed weight.
         last_used_at_ms: The time at which a connection to the server was last used.
-        in_flight_limit: The number of this replica's calls that may be in flight at the server. Infinite
+        in_flight_limit: The number of this replica's attempts that may be in flight at the server. Infinite
             until the server rejects an attempt or a connection attempt fails.
-        ejected_until_ms: The end of the last ejection.
-        ejections: The number of consecutive ejections.
-        error_log_odds: The logarithm of the odds that the server fails much more often than its peers.
+        ejected_until_ms: The end of the last ejection; minus infinity before the first.
+        ejections: The number of consecutive ejections; 0 once `error_log_odds` has fallen to 0.
+        error_log_odds: The logarithm of the odds that the server fails much more often than its peers;
+            at least 0.
         slow_start_budget: The token bucket of the attempts that this replica may send while the server is
             warming up.
-        slow_start_budget_per_ms: The rate, in tokens per ms, of the last refill of that bucket.
+        slow_start_budget_per_ms: The rate of the last refill of that bucket, in tokens per ms.
         selection: The state that `ServerSelector` keeps for the server.
     """
 
@@ -70,7 +72,8 @@
         self.ejected_until_ms = -math.inf
         self.ejections = 0
         self.error_log_odds = 0.0
-        # All replicas learn of a new server at the same time. The random fill spreads their first attempts.
+        # All replicas learn of a new server at the same time. The random initial budgets spread their first
+        # attempts.
         self.slow_start_budget = TokenBucket(rng.random(), now_ms)
         self.slow_start_budget_per_ms = 0.0
         self.selection: SelectionState[Server] = SelectionState()
@@ -101,7 +104,7 @@
         self.started_at_ms = entry.started_at_ms
 
     def has_restarted(self, entry: Endpoint) -> bool:
-        """Return whether the entry has a later start time than this server, so that it is a new process."""
+        """Return whether the entry has a later start time than this server, and so is of a new process."""
         return (
             entry.started_at_ms is not None
             and entry.started_at_ms > (self.started_at_ms or -math.inf) + MIN_RESTART_INTERVAL_MS
--- a/workspond/policy/server_selection.py
+++ b/workspond/policy/server_selection.py
@@ -21,10 +21,14 @@
 from workspond.policy.slow_start import SlowStart
 from workspond.policy.weighted_round_robin import Rotation, RotationEntry
 
-MAX_REFRESHED_SERVERS = 8  # due servers that one event refreshes; bounds the cost of an event
-MAX_GROUP_CANDIDATES = 32  # servers of a deduplication group that one pick compares
-MIN_SPEED_FACTOR = 1e-3  # bounds the ratio between the weights of servers
-MIN_WEIGHT = 1e-300  # above 0, because the logarithm of the weight is taken whatever weight discovery lists
+MAX_REFRESHED_SERVERS = 8  # per event; bounds the cost of an event when many servers are due
+MAX_GROUP_CANDIDATES = 32  # per pick in a deduplication group; bounds the cost of the pick
+# The lower bound of the capacity fraction times the speed factor. It bounds the ratio between the effective
+# weights of servers of equal subset weight.
+MIN_SPEED_FACTOR = 1e-3
+# The lower bound of an effective weight. It is above 0 because the logarithm of the weight is computed, and
+# discovery may list any weight.
+MIN_WEIGHT = 1e-300
 
 
 @dataclass(slots=True)
@@ -59,8 +63,11 @@
         # `refresh_at_ms` is outdated.
         self._refresh_queue: list[tuple[float, int, Server]] = []
         self._refresh_serials = itertools.count()
-        self._total_weight = 0.0  # of the servers in the subset whose slow-start budget allows an attempt
-        self._last_round_total_weight = 0.0  # of the servers that took part in the last round
+        # The sum of the effective weights of the servers in the subset, without those that are warming up and
+        # have no budget for an attempt.
+        self._total_weight = 0.0
+        # The sum of the effective weights of the servers that took part in the last round.
+        self._last_round_total_weight = 0.0
         self._stalled_attempts = 0
         self._ejected_count = 0
 
@@ -100,7 +107,7 @@
         )
 
     def _has_slow_start_budget(self, server: Server, capacity_fraction: float, now_ms: float) -> bool:
-        """Return whether the budget of a server that is warming up allows an attempt."""
+        """Refill the budget of a server that is warming up, and return whether it allows an attempt."""
         tokens = self._slow_start.refill_slow_start_budget(
             server, capacity_fraction, self._fleet.total_subset_weight, now_ms
         )
@@ -120,7 +127,7 @@
     def _update_totals(
         self, server: Server, weight: float, stalled_attempts: int, *, is_ejected: bool
     ) -> None:
-        """Replace a server's contribution to the totals."""
+        """Replace a server's contribution to the totals of weight, stalled attempts and ejected servers."""
         state = server.selection
         self._total_weight += weight - state.counted_weight
         self._stalled_attempts += stalled_attempts - state.stalled_attempts
@@ -130,7 +137,7 @@
         state.is_ejected = is_ejected
 
     def _place(self, server: Server, rotation: Rotation[Server] | None, load: float, weight: float) -> None:
-        """Move a server to a rotation, or out of its rotation (None); it keeps its current weight."""
+        """Move a server to a rotation, or out of its rotation (None); the server keeps its current weight."""
         state = server.selection
         entry = state.rotation_entry
         if entry is not None:
@@ -218,16 +225,17 @@
     def _next_entry(self, now_ms: float) -> RotationEntry[Server] | None:
         """Return the entry that the next round picks, with its server's state up to date."""
         while True:
-            # Only servers of the lowest load are picked. A slow or stuck server first shows by its calls in
-            # flight, so it is skipped until its peers have as many. If one more call than the lowest load
-            # were allowed, calls would wait behind others while a server that works on one at a time is idle.
+            # Only servers of the lowest load are picked. The first sign of a slow or stuck server is that its
+            # attempts stay in flight; it is skipped until its peers have as many. If servers with one attempt
+            # more were picked too, attempts would wait behind others at servers that work on one request at a
+            # time, while another server is idle.
             entry = self._active_rotation().first()
             if entry is None or entry.item.selection.refresh_at_ms > now_ms:
                 return entry
             self.update(entry.item, now_ms)
 
     def _pick_in_group(self, call: Call, now_ms: float) -> Server | None:
-        """Pick a server for a call that may have run: one of those that would drop a repeat of it."""
+        """Pick a server for a call that may have run: one that would recognise and drop a repeat of it."""
         candidates = self._group_candidates(call, now_ms)
         min_load = min((candidate.load for candidate in candidates), default=0.0)
         candidates = [candidate for candidate in candidates if candidate.load <= min_load]
@@ -248,11 +256,11 @@
         Ejected servers are included only if there are no others, and the server of the last attempt only if
         it is the only candidate.
         """
-        drawn = [
+        sampled = [
             self._candidate(server, now_ms)
             for server in self._fleet.sample_deduplication_group(call, MAX_GROUP_CANDIDATES)
         ]
-        usable = [candidate for candidate in drawn if candidate is not None]
+        usable = [candidate for candidate in sampled if candidate is not None]
         healthy = [candidate for candidate in usable if now_ms >= candidate.server.ejected_until_ms]
         candidates = healthy or usable
         if len(candidates) > 1:
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -14,19 +14,22 @@
 from workspond.policy.server_measurements import WEIGHT_TOLERANCE
 from workspond.policy.settings import Settings
 
-# All replicas together use this fraction of the attempts that the settings allow a server that is warming up.
+# The fraction that all replicas together use of the attempts that the settings allow to a server that is
+# warming up.
 SLOW_START_BUDGET_FRACTION = 0.5
 # A server without budget is checked again after this fraction of the wait for the next token, because the
 # refill rate grows during the wait.
 BUDGET_CHECK_FRACTION = 0.7
-MIN_BUDGET_CHECK_MS = 20.0  # minimum time until that check, unless the wait itself is shorter
-# Maximum time until that check: a long wait ends early if, for example, the peers answer ten times as many
-# calls.
+MIN_BUDGET_CHECK_MS = (
+    20.0  # minimum time until a server without budget is checked, unless the wait is shorter
+)
+# Maximum time until a server without budget is checked. A long wait may end early, for example because the
+# peers answer ten times as many attempts.
 MAX_BUDGET_CHECK_MS = 100.0
-# A server may have no capacity at first: the time until its next check is computed from at least this
-# fraction.
+# The time until the next check of a server with budget is computed from at least this capacity fraction,
+# because the capacity may be 0 at first.
 MIN_STEP_CAPACITY_FRACTION = 0.01
-MIN_CHECK_MS = 0.1  # minimum time until the next check, so that rounding errors cause no endless loop
+MIN_CHECK_MS = 0.1  # added to the time until each check, so that rounding errors cause no endless loop
 
 
 class SlowStart:
@@ -36,7 +39,8 @@
         self._settings = settings
         self._controller = controller
         self._max_objective_ms = max(request_class.objective_ms for request_class in settings.classes)
-        # The available fraction of the subset's weight, averaged over the same time as the response rate.
+        # The available fraction of the subset's weight, averaged over the same time as the response rate,
+        # because the rate is divided by it.
         self._available_fraction = TimeWeightedMean(RATE_WINDOW_MS)
         # The responses per ms of a warm server of weight 1, averaged over at least the time of a ramp.
         self._capacity_per_ms = TimeWeightedMean(max(RATE_WINDOW_MS, settings.ramp_time_ms))
@@ -50,7 +54,10 @@
         return settings.start_capacity + (1.0 - settings.start_capacity) * ramp
 
     def record_available_fraction(self, fraction: float, now_ms: float) -> None:
-        """Record the fraction of the subset's weight that is available from `now_ms` on."""
+        """Record the fraction of the subset's total weight that may get attempts from `now_ms` on.
+
+        The available weight is the sum of the effective weights of the servers that have budget or are warm.
+        """
         self._available_fraction.record(fraction, now_ms)
 
     def refill_slow_start_budget(
@@ -61,7 +68,7 @@
         Args:
             server: The server.
             capacity_fraction: The current capacity fraction of the server.
-            total_subset_weight: The sum of the subset weights of this replica's subset.
+            total_subset_weight: The sum of the subset weights of the servers in this replica's subset.
             now_ms: The current time in ms.
 
         Returns:
@@ -89,19 +96,24 @@
         self._capacity_per_ms.record(responses_per_ms, now_ms)
         # The mean is a lower bound, because low traffic does not reduce the servers' capacity.
         estimate_per_ms = max(responses_per_ms, self._capacity_per_ms.value) * server.subset_weight
-        # A new replica has no responses to estimate from, and would never get any if all servers were cold. A
-        # server that can answer within the objective at all completes one call per objective.
+        # A new replica has no responses to estimate from, and would never get any if all servers were
+        # warming up. A server that can answer within the longest objective at all answers at least one
+        # attempt in that time.
         return max(estimate_per_ms, server.subset_weight / self._max_objective_ms)
 
     def next_change_at_ms(self, server: Server, capacity_fraction: float, now_ms: float) -> float:
-        """Return when a server's capacity will have grown notably, or its budget may allow an attempt."""
+        """Return when a server's capacity will have grown notably, or its budget may allow an attempt.
+
+        Returns:
+            The time in ms; infinite if the server is warm.
+        """
         if capacity_fraction >= 1.0:
             return math.inf
         if server.slow_start_budget.tokens >= 1.0 or not server.slow_start_budget_per_ms:
             step = WEIGHT_TOLERANCE * max(capacity_fraction, MIN_STEP_CAPACITY_FRACTION)
             return now_ms + step * self._settings.ramp_time_ms + MIN_CHECK_MS
         # The check comes before the end of the wait, because the rate grows as the server warms up and as its
-        # peers answer more calls.
+        # peers answer more attempts.
         wait_ms = (1.0 - server.slow_start_budget.tokens) / server.slow_start_budget_per_ms
         check_ms = min(max(MIN_BUDGET_CHECK_MS, BUDGET_CHECK_FRACTION * wait_ms), MAX_BUDGET_CHECK_MS)
         return now_ms + min(wait_ms, check_ms) + MIN_CHECK_MS
--- a/workspond/policy/weighted_round_robin.py
+++ b/workspond/policy/weighted_round_robin.py
@@ -22,8 +22,8 @@
 # Subtracting a larger fraction from a sum of weights could leave mostly rounding errors, so the sum is
 # computed again instead.
 MAX_SUBTRACTED_FRACTION = 0.5
-MIN_COMPACTED_SIZE = 16  # heap entries; a compaction of fewer does not pay off
-REMOVED_SERIAL = -1  # serial number of an entry that has been removed from its rotation
+MIN_COMPACTED_SIZE = 16  # heap entries; compacting a smaller heap does not pay off
+REMOVED_SERIAL = -1  # marks an entry that has been removed from its rotation
 
 ItemT = TypeVar("ItemT")
 
@@ -119,7 +119,7 @@
         self.rotation = rotation
         self.load = load
         self.groups: dict[float, WeightGroup[ItemT]] = {}  # by rounded weight
-        self.rounds = 0
+        self.rounds = 0  # completed rounds
         self.total_weight = 0.0  # the sum of the members' effective weights
 
     def first(self) -> RotationEntry[ItemT]:
@@ -158,7 +158,8 @@
             item: The item; it must not be a member.
             load: The item's load; only items of the lowest load are picked.
             effective_weight: The weight in proportion to which the item is picked; must be above 0.
-            current_weight: The initial current weight: that of the item's last removal from a rotation.
+            current_weight: The initial current weight; for an item that was a member before, the one that it
+                had when it was removed.
 
         Returns:
             The entry of the item, for `remove` and `add_current_weight`.
@@ -213,7 +214,7 @@
         return self._levels[self._loads[0]].first()
 
     def finish_round(self, picked: RotationEntry[ItemT]) -> float:
-        """Complete a round: raise all current weights of the picked member's level, then lower its own.
+        """Complete a round: raise all current weights of the picked member's level, then lower that member's.
 
         Returns:
             The sum of the effective weights of the level's members.
