--- a/tests/cold_start_simulation.py
+++ b/tests/cold_start_simulation.py
@@ -1,8 +1,8 @@
-"""A simulation of balancer replicas that send to servers of which some are warming up.
+"""A simulation of balancer replicas that send to servers of which some are cold, that is warming up.
 
 Each replica is a `Balancer` of its own that gets only its own events. A server works on one request at a
 time, and is slower while it is warming up. The work that all replicas together send to a cold server is
-compared with the limit: N requests of mean work in each overload window, where N follows from the settings,
+compared with a limit: N requests of mean work in each overload window, where N follows from the settings,
 plus 2 * sqrt(N) + 2 requests of tolerance for random variation.
 """
 
@@ -68,7 +68,7 @@
 
 
 def steady_load(_at_ms: float) -> float:
-    """Return a constant load that the warm servers can serve."""
+    """Return a constant load that the warm servers can serve, as a ratio of their capacity."""
     return 0.6
 
 
@@ -77,9 +77,10 @@
     """The parameters of a simulation; times are relative to the start of the cold servers.
 
     Attributes:
-        warm: The number of servers that are warm all the time.
+        warm: The number of servers that are warm during the whole simulation.
         cold: The number of servers that start cold.
-        load: The load by time, as a ratio of the capacity of the warm servers, or of all if none is warm.
+        load: The load at a time in ms, as a ratio of the capacity of the warm servers, or of all servers if
+            none is warm.
         work_classes: The request classes.
         update_spread_ms: Each replica learns of the cold servers at a random time within this interval.
         replica_restarts_at_ms: The times at which a third of the replicas restart.
@@ -126,7 +127,8 @@
 
     started_at_ms: float = -math.inf
     busy_until_ms: float = 0.0  # the time at which all received requests will have been processed
-    received: list[ReceivedRequest] = field(default_factory=list)  # from replicas that know of the cold start
+    # Contains only the requests of replicas that know of the cold start.
+    received: list[ReceivedRequest] = field(default_factory=list)
 
     @property
     def has_started(self) -> bool:
@@ -143,7 +145,7 @@
 class SimulatedRequest:
     """A request that a replica has received."""
 
-    work_ms: float
+    work_ms: float  # the time that a warm server works on the request
     attempts: int = 0
 
 
@@ -153,11 +155,11 @@
 
     index: int
     balancer: Balancer
-    requests: dict[str, SimulatedRequest]  # kept over a restart, because attempts in flight continue
+    requests: dict[str, SimulatedRequest]  # by id; kept over a restart, because attempts in flight continue
 
 
 class ColdStartSimulation:
-    """Runs a scenario; `max_window_ratio` and `sent_work_ratio` return the load of the cold servers."""
+    """Runs a scenario when created; `max_window_ratio` and `sent_work_ratio` return the results."""
 
     def __init__(self, scenario: Scenario, replicas: int, seed: int) -> None:
         self._scenario = scenario
@@ -165,11 +167,12 @@
         self._rng = random.Random(seed)
         self._now_ms = 0.0
         self._serials = itertools.count()
-        self._events: list[tuple[float, int, Callable[[], None]]] = []  # a heap
+        # A heap of time in ms, serial number and action.
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._mean_work_ms = scenario.mean_work_ms()
         listed_before = scenario.warm + (scenario.cold if scenario.lists_cold_servers_before else 0)
         self._servers = {server_id: SimulatedServer() for server_id in range(listed_before)}
-        self._knows_cold_start = [False] * replicas  # by replica: whether it knows of the cold servers' start
+        self._knows_cold_start = [False] * replicas  # whether each replica knows of the cold start
         self._request_ids = itertools.count(1)
         self._replicas = [self._start_replica(index, {}) for index in range(replicas)]
         self._schedule_scenario()
@@ -318,7 +321,7 @@
         )
 
     def _window_ratio(self, server: SimulatedServer, first: int) -> float:
-        """Return the work that a server received in the window from request `first` on, over the limit."""
+        """Return the work received in the window from request `first` on, as a ratio of the limit."""
         starts_at_ms = server.received[first].at_ms
         received_work = 0.0
         for received in server.received[first:]:
@@ -330,7 +333,7 @@
         return received_work / (allowed_requests + 2.0 * math.sqrt(allowed_requests) + 2.0)
 
     def sent_work_ratio(self) -> float:
-        """Return the work that the cold servers received, as a ratio of the work that they could serve."""
+        """Return the work that the cold servers received, as a ratio of the work that they could do."""
         mean_capacity = START_CAPACITY + (1.0 - START_CAPACITY) / 2.0
         capacity = self._scenario.cold * mean_capacity * self._scenario.after_ms / self._mean_work_ms
         sent = sum(received.work_ratio for server in self._cold_servers() for received in server.received)
--- a/tests/recorded_sessions.py
+++ b/tests/recorded_sessions.py
@@ -1,4 +1,4 @@
-"""The simulated sessions that `tests/record_decisions.py` records: settings, requests, servers."""
+"""The simulated sessions that `tests/record_decisions.py` records: their settings, requests and servers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from typing import Any
 
 Json = dict[str, Any]
-# The fractions of attempts that fail to connect, get an error and are reset; the factor of the service time.
+# The fractions of the attempts that fail to connect, that get an error and that are reset, in this order, and
+# the factor of the service time.
 ServerBehaviour = tuple[float, float, float, float]
 
 HEALTHY: ServerBehaviour = (0.0, 0.0, 0.0, 1.0)
@@ -19,7 +20,7 @@
 
 
 def request_class(name: str, semantics: str, importance: float, **changes: Any) -> Json:
-    """Return the wire form of a request class, with changes to the defaults."""
+    """Return the wire form of a request class: the defaults, with these changes."""
     fields = {"name": name, "objective_ms": 120.0, "give_up_ms": 600.0, "semantics": semantics}
     fields |= {"importance": importance, "late_worth": 0.2, "dedup_scope": "all", "window_ms": 250.0}
     return fields | {"stream": False} | changes
@@ -97,7 +98,8 @@
         list_failure_fraction: The fraction of subscriptions and updates that fail.
         changes_per_update: The number of entries that each update changes.
         client_leave_fraction: The fraction of the clients that disconnect early.
-        node_restart_after_ms: The time at which every node is killed and started again.
+        node_restart_after_ms: The time after the start at which every node is killed and started again;
+            infinite for never.
     """
 
     name: str
@@ -165,7 +167,7 @@
             arrivals.append((5.0 + after_ms, rng.choice(nodes), rng.choice(self.settings["classes"])))
         return arrivals
 
-    def change_entries(self, rng: random.Random, entries: list[Json], now: float) -> list[Json]:
+    def change_entries(self, rng: random.Random, entries: list[Json], now_ms: float) -> list[Json]:
         """Change some entries in place or add servers; return the changed and the new entries."""
         changed: list[Json] = []
         for sampled in rng.sample(entries, self.changes_per_update):
@@ -175,13 +177,13 @@
             )
             if change == "add":
                 entry = self.entry(rng, max(other["server"] for other in [*entries, *changed]) + 1)
-                entry["boot_time_ms"] = now - 20.0
+                entry["boot_time_ms"] = now_ms - 20.0
             elif change == "drain":
                 entry["health"] = "terminating"
             elif change == "remove":
                 entry["health"] = "terminated"
             elif change == "restart":
-                entry |= {"health": "in_service", "boot_time_ms": now - 20.0}
+                entry |= {"health": "in_service", "boot_time_ms": now_ms - 20.0}
             elif change == "shift start":
                 entry["boot_time_ms"] = (entry["boot_time_ms"] or 500.0) + 40.0
             elif change == "move":
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -3,7 +3,7 @@
 The scenarios are difficult cases: replicas that restart during the ramp, that learn of the cold servers
 seconds apart, or that get a complete list again and again; low load followed by a burst; heavy requests among
 light ones; all servers cold at once, with a load that they can or can't serve. Each test prints the maximum
-window.
+window ratio.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def lull_then_burst(at_ms: float) -> float:
-    """Return a low load, then one that is too high for the warm servers, then the normal one."""
+    """Return a normal load, a low one from 1 s on, one too high for the warm servers from 5 to 8 s."""
     if 1000.0 <= at_ms < 5000.0:
         return 0.05
     return 1.6 if 5000.0 <= at_ms < 8000.0 else 0.6
@@ -65,11 +65,13 @@
 @pytest.mark.parametrize("replicas", REPLICA_COUNTS)
 @pytest.mark.parametrize("scenario", SCENARIOS)
 def test_replicas_together_neither_overload_nor_starve_a_cold_server(scenario: str, replicas: int) -> None:
-    """The failure: with all servers cold, the worst window had 1.03 to 1.34 times the allowed work."""
+    """With all servers cold, the maximum window once had 1.03 to 1.34 times the allowed work."""
     simulations = [ColdStartSimulation(SCENARIOS[scenario], replicas, seed) for seed in SEEDS]
     max_window_ratio = max(simulation.max_window_ratio() for simulation in simulations)
     sent_ratio = sum(simulation.sent_work_ratio() for simulation in simulations) / len(SEEDS)
-    print(f"{scenario}, {replicas} replicas: maximum window {max_window_ratio:.2f}, sent {sent_ratio:.2f}")
+    print(
+        f"{scenario}, {replicas} replicas: maximum window ratio {max_window_ratio:.2f}, sent {sent_ratio:.2f}"
+    )
     assert max_window_ratio <= 1.0
     sent_ratio_before = SENT_RATIO_WITHOUT_SHARED_LIMIT[scenario][REPLICA_COUNTS.index(replicas)]
     assert sent_ratio >= MIN_SENT_FRACTION * sent_ratio_before
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Server selection and subsets: they match the reference implementations, at a cost that does not grow."""
+"""Server selection and subsets match their references, at a cost that does not grow with the servers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
 FEW_SERVERS, MANY_SERVERS = 30, 2000
 ALL_SERVERS_KEY = (DeduplicationScope.ALL, None)
 CALLS = 150
-MAX_EXTRA_UPDATES = 12  # per measured call; the updates of the warm-up calls, half as many again, count too
+# Per measured call. The updates by the warm-up calls, half as many as the measured calls, count too.
+MAX_EXTRA_UPDATES = 12
 
 
 @pytest.fixture
@@ -80,7 +81,7 @@
     return max((group.first() for group in self.groups.values()), key=lambda entry: entry.current_weight)
 
 
-def add_with_equal_load(
+def add_with_load_zero(
     self: Rotation[Server], server: Server, load: float, effective_weight: float, current_weight: float
 ) -> RotationEntry[Server]:
     return original_add(self, server, 0.0, effective_weight, current_weight)
@@ -94,7 +95,7 @@
     [
         (Rotation, "finish_round", finish_round_without_change),
         (LoadLevel, "first", first_by_weight_before_round),
-        (Rotation, "add", add_with_equal_load),
+        (Rotation, "add", add_with_load_zero),
     ],
 )
 def test_broken_rotation_is_detected_by_the_scan(
@@ -104,7 +105,7 @@
     checked_selector: type[CheckedSelector],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The simulator's score had revealed the second fault, by a difference of 0.015."""
+    """The second fault was first revealed by the simulator's score, by a difference of 0.015."""
     monkeypatch.setattr(owner, method_name, broken_method)
     with pytest.raises(AssertionError):
         for seed in range(30):
@@ -137,14 +138,16 @@
         }
         assert subset.subset_weights == pytest.approx(expected)
         members = before.keys() | subset.subset_weights
-        assert {m for m in members if before.get(m) != subset.subset_weights.get(m)} <= changed
+        assert {
+            member for member in members if before.get(member) != subset.subset_weights.get(member)
+        } <= changed
 
 
 def test_deduplication_groups_after_random_changes_sample_all_members_evenly() -> None:
     rng = Random(1)
     groups = DeduplicationGroups()
     zones: dict[int, str] = {}
-    servers = [Server(Endpoint(n), 0.0, rng) for n in range(60)]
+    servers = [Server(Endpoint(number), 0.0, rng) for number in range(60)]
     for _ in range(2000):
         server = rng.choice(servers)
         zone = rng.choice("abc")
@@ -182,18 +185,18 @@
 
 
 @pytest.mark.parametrize("state", ServerState)
-def test_server_updates_of_a_call_do_not_grow_with_the_endpoint_list(
+def test_server_updates_per_call_do_not_grow_with_the_endpoint_list(
     state: ServerState, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    few, many = (
+    few_updates, many_updates = (
         count_updates(monkeypatch, Case(servers, 1, state, CALLS)) for servers in (FEW_SERVERS, MANY_SERVERS)
     )
     # Each call updates its own server twice, and some servers that are due for a refresh.
     print(
-        f"{state.value}: {few / CALLS:.2f} updates a call with {FEW_SERVERS} servers,"
-        f" {many / CALLS:.2f} with {MANY_SERVERS}"
+        f"{state.value}: {few_updates / CALLS:.2f} updates a call with {FEW_SERVERS} servers,"
+        f" {many_updates / CALLS:.2f} with {MANY_SERVERS}"
     )
-    assert many <= 1.15 * few + MAX_EXTRA_UPDATES * CALLS
+    assert many_updates <= 1.15 * few_updates + MAX_EXTRA_UPDATES * CALLS
 
 
 def test_unchanged_endpoint_list_updates_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -218,7 +221,7 @@
 
 
 def test_slow_start_budget_refilled_rarely_grows_as_much_as_one_refilled_often() -> None:
-    """The refill rate grows during the ramp: a late refill used the last rate for the whole interval."""
+    """The refill rate grows during the ramp, but a late refill used the last rate for the whole interval."""
     often_refilled, rarely_refilled = TokenBucket(0.0, 0.0), TokenBucket(0.0, 0.0)
     settings = Settings(
         [RequestClass("read", 100.0, 400.0)],
@@ -250,11 +253,11 @@
         replica.serve(400)
         selector = replica.balancer._selector
         rotation = selector._healthy
-        entries_held = sum(
+        heap_entries = sum(
             len(group.heap) for level in rotation._levels.values() for group in level.groups.values()
         )
         sizes.append(
-            (len(selector._refresh_queue), len(rotation._loads), len(rotation._levels), entries_held)
+            (len(selector._refresh_queue), len(rotation._loads), len(rotation._levels), heap_entries)
         )
     assert max(map(max, sizes)) <= 100, sizes
 
@@ -265,9 +268,9 @@
     for seed in range(10):
         run_random_events(seed, **changes)
     replica = Replica(servers=0, tier=1, **changes)
-    replica.replace_endpoints([Endpoint(n, started_at_ms=replica.now_ms) for n in range(3)])
-    for n in range(50):
-        replica.receive(f"{n}")
+    replica.replace_endpoints([Endpoint(number, started_at_ms=replica.now_ms) for number in range(3)])
+    for number in range(50):
+        replica.receive(f"{number}")
         replica.now_ms += 200.0
 
 
@@ -285,6 +288,6 @@
     cold = replica.balancer.fleet.servers[9]
     cold.slow_start_budget.tokens = 0.0
     replica.balancer._selector.update(cold, replica.now_ms)
-    started_at_ms = replica.now_ms
+    start_at_ms = replica.now_ms
     while 9 not in replica.serve(1, gap_ms=0.0, delay_ms=10.0):
-        assert replica.now_ms - started_at_ms < 1_600.0
+        assert replica.now_ms - start_at_ms < 1_600.0
