--- a/workspond/policy/outlier_ejection.py
+++ b/workspond/policy/outlier_ejection.py
@@ -15,13 +15,13 @@
 BASE_EJECTION_MS = 1_000.0  # duration of the first ejection, before jitter
 MAX_EJECTION_DOUBLINGS = 5  # consecutive ejections double the duration up to this many times
 MIN_EJECTION_JITTER = 0.5  # the duration is multiplied by a random factor between this and this + 1
-MAX_EJECTED_FRACTION = 0.5  # while this fraction of the servers is ejected, none is ejected for errors
+MAX_EJECTED_FRACTION = 0.5  # while this fraction of the subset is ejected, no server is ejected for errors
 EJECTION_LOG_ODDS = math.log(30.0)  # a server with these odds of being an outlier is ejected
 OUTLIER_ERROR_FRACTION = 0.5  # assumed error fraction of an outlier
 MIN_PEER_ERROR_FRACTION = 0.01  # lower bound of the error fraction that is assumed for the peers
 # After a rejection or a failed connection attempt, the in-flight limit is set to this times the number of
 # attempts still in flight, or this times the old limit if that is lower, but at least to 1.
-IN_FLIGHT_LIMIT_DECREASE = 0.9
+IN_FLIGHT_LIMIT_FACTOR = 0.9
 
 
 class OutlierEjection:
@@ -44,7 +44,7 @@
         """
         if outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             in_flight = min(server.in_flight_limit, float(server.in_flight))
-            server.in_flight_limit = max(1.0, in_flight * IN_FLIGHT_LIMIT_DECREASE)
+            server.in_flight_limit = max(1.0, in_flight * IN_FLIGHT_LIMIT_FACTOR)
             # If no other attempt is in flight, the server is down or accepts no more connections.
             if outcome is Outcome.CONNECT_FAILED and not server.in_flight:
                 self._eject(server, now_ms)
--- a/workspond/policy/slow_start.py
+++ b/workspond/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: a server that is warming up gets a lower weight, and a token bucket limits its attempts.
 
 The start capacity, the ramp time and the overload limits come from the settings. The settings state no
-absolute capacity: it is estimated from the responses of warm servers.
+absolute capacity: it is estimated from the rate of responses, by a method of the project.
 """
 
 from __future__ import annotations
@@ -20,9 +20,8 @@
 # A server without budget is checked again after this fraction of the wait for the next token, because the
 # refill rate grows during the wait.
 BUDGET_CHECK_FRACTION = 0.7
-MIN_BUDGET_CHECK_MS = (
-    20.0  # minimum time until a server without budget is checked, unless the wait is shorter
-)
+# Minimum time until a server without budget is checked, unless the wait for the next token is shorter.
+MIN_BUDGET_CHECK_MS = 20.0
 # Maximum time until a server without budget is checked. A long wait may end early, for example because the
 # peers answer ten times as many attempts.
 MAX_BUDGET_CHECK_MS = 100.0
@@ -104,8 +103,7 @@
     def next_change_at_ms(self, server: Server, capacity_fraction: float, now_ms: float) -> float:
         """Return when a server's capacity will have grown notably, or its budget may allow an attempt.
 
-        Returns:
-            The time in ms; infinite if the server is warm.
+        The result is infinite if the server is warm.
         """
         if capacity_fraction >= 1.0:
             return math.inf
--- a/workspond/policy/subset.py
+++ b/workspond/policy/subset.py
@@ -54,7 +54,7 @@
         return weights_in_slice
 
     def cut(self, start: float, end: float, weights: dict[int, float]) -> dict[int, float]:
-        """Return the weight of each member between `start` and `end`, if the weights may differ."""
+        """Return the weight of each member between `start` and `end`; the members' weights may differ."""
         members = [member for _, member in self._order]
         ends = list(itertools.accumulate(weights[member] for member in members))
         weights_in_slice = {}
@@ -70,7 +70,7 @@
 
 
 class Subset:
-    """The members that one replica uses, with their subset weights.
+    """The weights of all members, and the subset weights of those that one replica uses.
 
     Attributes:
         slice_count: The number of slices that the replica uses, one of each shuffle. If it is at
@@ -87,7 +87,7 @@
         self._changed_members: set[int] = set()
         self._slice_count_changed = False
         self._shuffles: list[Shuffle] = []
-        self._shuffled_members: set[int] = set()  # each shuffle contains exactly these members
+        self._shuffled_members: set[int] = set()  # the members that each shuffle contains
         self.subset_weights: dict[int, float] = {}
 
     def __len__(self) -> int:
