--- a/tests/cold_start_simulation.py
+++ b/tests/cold_start_simulation.py
@@ -1,4 +1,4 @@
-"""A simulation of balancer replicas that send to servers of which some are cold, that is warming up.
+"""A simulation of balancer replicas that send to servers of which some are cold, that is, warming up.
 
 Each replica is a `Balancer` of its own that gets only its own events. A server works on one request at a
 time, and is slower while it is warming up. The work that all replicas together send to a cold server is
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -21,7 +21,7 @@
 
 
 def lull_then_burst(at_ms: float) -> float:
-    """Return a normal load, a low one from 1 s on, one too high for the warm servers from 5 to 8 s."""
+    """Return 0.6, but 0.05 from 1 s to 5 s, and 1.6, too much for the warm servers, from 5 s to 8 s."""
     if 1000.0 <= at_ms < 5000.0:
         return 0.05
     return 1.6 if 5000.0 <= at_ms < 8000.0 else 0.6
