--- a/soak/clients.py
+++ b/soak/clients.py
@@ -17,8 +17,10 @@
 BUDGET_RANGE_S = (0.2, DEADLINE_S)
 TINY_BUDGET_RANGE_S = (0.001, 0.04)
 TINY_BUDGET_FRACTION = 0.03
-DISCONNECT_AFTER_S = (0.001, 0.1)  # after sending, for clients that disconnect early
-EARLY_DISCONNECT_FRACTION = 0.5  # of requests, while clients disconnect early
+# During a fault of the kind `callers_leave`, clients abandon this fraction of their requests, this long after
+# sending them.
+EARLY_DISCONNECT_FRACTION = 0.5
+EARLY_DISCONNECT_DELAY_RANGE_S = (0.001, 0.1)
 RECONNECT_INTERVAL_S = 0.05
 LARGE_BODY_BYTES = 20_000
 LARGE_BODY_FRACTION = 0.05
@@ -32,8 +34,8 @@
 
     number: int
     address: tuple[str, int]
-    accepts_connections: bool = True  # False soon after SIGTERM and after the end of the process
-    killed_at_s: float = -1.0  # time of the last SIGKILL that a fault sent
+    accepts_connections: bool = True  # False from soon after SIGTERM until a new process is ready
+    killed_at_s: float = -1.0  # time of the last SIGKILL by a fault `node_kill`; -1 before the first
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +56,7 @@
 
 
 class Client:
-    """Base class of all clients: draws requests, connects, and knows whether the node was killed."""
+    """Base class of all clients: draws requests, connects, and checks whether the node was killed."""
 
     def __init__(self, oracle: Oracle, node: NodeView, rng: random.Random, new_id: Callable[[], str]) -> None:
         self._oracle = oracle
@@ -101,22 +103,22 @@
 
     disconnects_early = False  # True during a fault of the kind `callers_leave`
 
-    async def run(self, mean_gap_s: float) -> None:
-        """Send requests until cancelled; `mean_gap_s` is the mean time from an answer to the next request."""
+    async def run(self, mean_think_time_s: float) -> None:
+        """Send requests until cancelled, each `mean_think_time_s` on average after the previous answer."""
         while True:
             reader, writer = await self._connect()
             try:
-                await self._use_connection(reader, writer, mean_gap_s)
+                await self._use_connection(reader, writer, mean_think_time_s)
             finally:
                 writer.close()
 
     async def _use_connection(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, mean_gap_s: float
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, mean_think_time_s: float
     ) -> None:
         """Send requests on one connection until it ends."""
         is_first = True
         while True:
-            await asyncio.sleep(self._rng.expovariate(1.0 / mean_gap_s))
+            await asyncio.sleep(self._rng.expovariate(1.0 / mean_think_time_s))
             if reader.at_eof() or writer.is_closing():
                 return
             request = self._draw_request()
@@ -131,7 +133,7 @@
 
     async def _disconnect(self, request: DrawnRequest, writer: asyncio.StreamWriter) -> None:
         """Close the connection while a request is in flight."""
-        await asyncio.sleep(self._rng.uniform(*DISCONNECT_AFTER_S))
+        await asyncio.sleep(self._rng.uniform(*EARLY_DISCONNECT_DELAY_RANGE_S))
         writer.close()
         self._oracle.client_disconnected(request.request_id)
 
@@ -156,12 +158,12 @@
     ) -> None:
         """Handle a connection that ended without an answer.
 
-        The node may close an idle connection while a request is on its way. Such a request is sent once more;
-        any other is reported as unanswered.
+        The node may close an idle connection while a request is on its way. Such a request is sent once more.
+        Any other request, and one that gets no answer the second time either, is reported as unanswered.
         """
-        may_have_crossed = not is_first_request and not self._oracle.was_forwarded(request.request_id)
+        may_have_crossed_close = not is_first_request and not self._oracle.was_forwarded(request.request_id)
         error: Exception | None = problem
-        if may_have_crossed and not self._was_killed_since_sent(request):
+        if may_have_crossed_close and not self._was_killed_since_sent(request):
             error = await self._resend(request)
         if error is not None:
             self._report_unanswered(request, f"connection closed without an answer: {error!r:.60}")
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -17,11 +17,12 @@
 from standins.messages import receive_message, render_response
 from standins.sockets import reset
 
-PROPAGATION_DELAY_S = 0.3  # from a change in the registry to its arrival at the agents
-# A reachable agent must be polled within this time: its node counts as notified of older changes.
+PROPAGATION_DELAY_S = 0.3  # time from a change in the registry to its arrival at the agents
+# A node must poll a reachable agent within this time. It counts as notified of every change that the agent
+# has had for longer.
 NOTIFICATION_LIMIT_S = 6.0
-SLOW_PIECES = 8
-SLOW_S = 0.4  # delay before the first piece of a slow answer, and total delay between its pieces
+SLOW_ANSWER_PIECES = 8
+SLOW_ANSWER_DELAY_S = 0.4  # delay before the first piece, and again the total delay after the pieces
 
 
 class Status(Enum):
@@ -101,14 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListAnswer:
-    """An answer to a call, and whether the connection stays open after it."""
+    """An answer to a node's request, and whether the connection stays open after it."""
 
     data: bytes
     keeps_open: bool
 
 
 class Agent(Listener):
-    """A discovery agent of one node; it serves its copy of the list, or fails as its mode says."""
+    """A discovery agent of one node; it serves its copy of the list, or fails according to its mode."""
 
     def __init__(self, registry: EndpointRegistry, oracle: Oracle, node: int) -> None:
         super().__init__()
@@ -132,7 +133,7 @@
         return endpoint_list(self._version, listed, complete=True)
 
     def apply_change(self, entry: Entry, version: int) -> None:
-        """Apply a change; an agent that is down or silent ignores it until it is reachable again."""
+        """Apply a change; an agent that is down or silent ignores it and catches up when reachable again."""
         if self._mode in UNREACHABLE_MODES:
             return
         self._version = max(self._version, version)
@@ -159,7 +160,7 @@
                 self.apply_change(entry, self._registry.changed_versions[name])
 
     def record_overdue(self) -> None:
-        """Record entries as notified that the node should have polled by now, even if they were not sent."""
+        """Record pending entries as notified if the node should have polled them by now."""
         if self._mode in UNREACHABLE_MODES:
             return
         now_s = self.loop.time()
@@ -175,7 +176,7 @@
         )
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer each call according to the current mode."""
+        """Answer each request according to the current mode."""
         if self._mode is AgentMode.DOWN:
             reset(writer.transport)
             return
@@ -183,11 +184,11 @@
         with contextlib.suppress(RuntimeError):
             keeps_open = True
             while keeps_open:
-                call = await receive_message(reader)
-                keeps_open = await self._answer(writer, call.target)
+                request = await receive_message(reader)
+                keeps_open = await self._answer(writer, request.target)
 
     async def _answer(self, writer: asyncio.StreamWriter, target: str) -> bool:
-        """Answer a call; return whether the connection stays open."""
+        """Answer a request for the list or a watch; return whether the connection stays open."""
         query = parse_qs(urlsplit(target).query)
         index = int(query["index"][0]) if "index" in query else None
         if index is not None and index >= self._version:
@@ -215,7 +216,7 @@
         return [entry for name, entry in self._entries.items() if versions.get(name, 0) > version]
 
     def _frame(self, body: bytes) -> ListAnswer:
-        """Frame an answer with a Content-Length; in mode FRAMING, alternately without one or in chunks."""
+        """Frame an answer with a Content-Length; in mode FRAMING, alternately without one and in chunks."""
         self._answers += 1
         if self._mode is not AgentMode.FRAMING:
             return ListAnswer(render_response(200, body, reason="OK"), keeps_open=True)
@@ -228,11 +229,11 @@
         if self._mode is not AgentMode.SLOW:
             writer.write(data)
             return
-        await asyncio.sleep(SLOW_S)
-        size = len(data) // SLOW_PIECES + 1
+        await asyncio.sleep(SLOW_ANSWER_DELAY_S)
+        size = len(data) // SLOW_ANSWER_PIECES + 1
         for start in range(0, len(data), size):
             writer.write(data[start : start + size])
-            await asyncio.sleep(SLOW_S / SLOW_PIECES)
+            await asyncio.sleep(SLOW_ANSWER_DELAY_S / SLOW_ANSWER_PIECES)
 
     def _record_written(self, writer: asyncio.StreamWriter, entries: list[Entry]) -> None:
         if writer.is_closing():
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -19,9 +19,9 @@
 
 CLOCK_STEP_S = 3600
 RELOAD_INTERVAL_S = 0.2
-FAULTY_CLIENTS = 4  # per fault
-REMOVE_AFTER_S = 1.5  # from the end of a drain to the server's removal from the list
-CRASH_AFTER_S = 0.5  # from the removal to the end of the server's process
+FAULTY_CLIENTS_PER_FAULT = 4
+REMOVAL_DELAY_S = 1.5  # a draining server is removed from the list this long after the end of the fault
+CRASH_AFTER_REMOVAL_S = 0.5
 ACCEPT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED)
 LOG_ERRORS = (errno.ENOSPC, errno.EIO)
 
@@ -77,9 +77,9 @@
     async def _drain(self, server: SimulatedServer, lasts_s: float) -> None:
         async with server.restarting:
             server.set_status(Status.DRAINING)
-            await asyncio.sleep(lasts_s + REMOVE_AFTER_S)
+            await asyncio.sleep(lasts_s + REMOVAL_DELAY_S)
             server.set_status(Status.REMOVED)
-            await asyncio.sleep(CRASH_AFTER_S)
+            await asyncio.sleep(CRASH_AFTER_REMOVAL_S)
             server.crash()
             await server.restart_cold()
 
@@ -104,7 +104,7 @@
     # Clients
 
     async def _play_client_fault(self, fault: Fault, node: NodeProcess) -> None:
-        faulty = [self._make_faulty_client(node.view) for _ in range(FAULTY_CLIENTS)]
+        faulty = [self._make_faulty_client(node.view) for _ in range(FAULTY_CLIENTS_PER_FAULT)]
         match fault.kind:
             case FaultKind.CALLERS_LEAVE:
                 await self._disconnect_early(self._clients[node.view.number], fault.lasts_s)
--- a/soak/faulty_clients.py
+++ b/soak/faulty_clients.py
@@ -21,7 +21,7 @@
 
 
 class FaultyClient(Client):
-    """Sends malformed or incomplete requests, floods, or nothing at all."""
+    """Sends invalid or incomplete requests, many requests at once, or opens connections and sends nothing."""
 
     async def flood(self) -> None:
         """Send many requests in one write; each must be answered."""
@@ -32,7 +32,9 @@
             self._record_sent(request, max(request.budget_s, BUDGET_RANGE_S[1]))
         for request in requests:
             limit_s = DEADLINE_S + ANSWER_GRACE_S + LATE_ANSWER_S + self._oracle.slack_s
-            if not await self._expect_answer(request, reader, limit_s, "one of many in one write"):
+            if not await self._expect_answer(
+                request, reader, limit_s, "request sent with others in one write"
+            ):
                 break
         writer.close()
 
@@ -47,7 +49,7 @@
         writer.write(request.data + b"no HTTP\r\n\r\n")
         self._record_sent(request, request.budget_s)
         limit_s = INVALID_REQUEST_LIMIT_S + LATE_ANSWER_S + self._oracle.slack_s
-        await self._expect_answer(request, reader, limit_s, "garbage was sent after it")
+        await self._expect_answer(request, reader, limit_s, "request followed by garbage")
         writer.close()
 
     async def send_half_request(self) -> None:
@@ -70,18 +72,21 @@
     async def _expect_answer(
         self, request: DrawnRequest, reader: asyncio.StreamReader, limit_s: float, circumstance: str
     ) -> bool:
-        """Read the answer to a request and report a missing one; return whether it arrived."""
+        """Read the answer to a request, report it if missing, and return whether it arrived.
+
+        `circumstance` is the part of the violation's text that says how the request was sent.
+        """
         try:
             response = await read_answer(reader, limit_s)
         except NO_ANSWER_ERRORS as problem:
             if not self._was_killed_since_sent(request):
-                self._oracle.unanswered(request.request_id, f"{circumstance}: {problem!r:.60}")
+                self._oracle.unanswered(request.request_id, f"no answer, {circumstance}: {problem!r:.60}")
             return False
         self._oracle.answered(request.request_id, response.status, response.body)
         return True
 
     async def _expect_error_or_close(self, description: str, data: bytes) -> None:
-        """Send an invalid request; report if the node neither answers nor closes in time."""
+        """Send an invalid request; report if the node neither answers nor closes within the limit."""
         reader, writer = await self._connect()
         began_s = self._loop.time()
         with contextlib.suppress(ConnectionError):
--- a/soak/node_log.py
+++ b/soak/node_log.py
@@ -11,7 +11,7 @@
 
 
 class NodeLog:
-    """The log file of a node; all processes that the node has had append to it."""
+    """The log file of a node; the successive processes of the node append to it."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
--- a/soak/node_process.py
+++ b/soak/node_process.py
@@ -18,13 +18,13 @@
 from soak.node_log import NodeLog
 from soak.oracle import Oracle
 from soak.records import Rule
-from soak.settings import DEADLINE_S, DESCRIPTORS, node_settings
+from soak.settings import DEADLINE_S, DESCRIPTOR_LIMIT, node_settings
 from soak.shim import ShimControl
 from standins.checkout import node_command
 from standins.node_config import node_config
 from standins.readiness import is_ready
 
-READY_TIMEOUT_S = 10.0  # from the start of a process to the first 200 of /-/ready
+READY_TIMEOUT_S = 10.0  # limit of the time from the start of a process to the first 200 of /-/ready
 READY_POLL_S = 0.05
 ACCEPT_AFTER_TERM_S = 0.3  # clients keep connecting for this long after SIGTERM
 KILL_AFTER_TERM_S = DEADLINE_S + 0.7
@@ -78,16 +78,16 @@
             listen=f"{host}:{port}",
             discovery=agent.address,
             seed=os.urandom(8).hex(),
-            limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS},
+            limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTOR_LIMIT},
             known=agent.complete_list(),
             settings=node_settings(self._options.replicas, self.view.number),
         )
 
     def _write_config(self, text: str) -> None:
         """Replace the configuration file atomically."""
-        partial = self._config_path.with_suffix(".new")
-        partial.write_text(text)
-        partial.replace(self._config_path)
+        new_path = self._config_path.with_suffix(".new")
+        new_path.write_text(text)
+        new_path.replace(self._config_path)
 
     def _write_valid_config(self) -> None:
         self._write_config(json.dumps(self._config()))
@@ -106,14 +106,14 @@
         self._write_valid_config()
 
     def _signal_reload(self) -> None:
-        """Send SIGHUP, unless the process is still starting: the platform sends none then."""
+        """Send SIGHUP, unless the process is still starting: the platform does not signal it then either."""
         if asyncio.get_running_loop().time() >= self._reloadable_from_s:
             self.signal(signal.SIGHUP)
 
     # Start
 
     async def start(self) -> None:
-        """Start a process and wait until it is ready; one that takes too long is reported."""
+        """Start a process and wait until it is ready; report it if that takes over `READY_TIMEOUT_S`."""
         began_s = asyncio.get_running_loop().time()
         self._reloadable_from_s = math.inf
         self._write_valid_config()
@@ -189,7 +189,7 @@
             process.send_signal(number)
 
     async def stop(self) -> None:
-        """Stop the process as the platform does: with SIGTERM, and after a while with SIGKILL."""
+        """Stop the process as the platform does: with SIGTERM, and if it does not end, with SIGKILL."""
         process = self._running_process()
         if process is None:
             return
@@ -200,7 +200,7 @@
             async with asyncio.timeout(KILL_AFTER_TERM_S + self._oracle.slack_s):
                 await process.wait()
         except TimeoutError:
-            # Requests that arrived in time may be lost now; their clients report them.
+            # SIGKILL may lose requests that the node should have answered; their clients report them.
             with contextlib.suppress(ProcessLookupError):  # the process has just ended
                 process.kill()
             await process.wait()
--- a/soak/notifications.py
+++ b/soak/notifications.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self._inactive_from_s: dict[tuple[int, str], float] = {}  # by node and server
-        self._starts_s: dict[tuple[int, str], float] = {}
+        self._starts_s: dict[tuple[int, str], float] = {}  # by node and server
 
     def add(self, notification: Notification) -> None:
         """Record a notification; a server is inactive from the first notification that says so."""
--- a/soak/oracle.py
+++ b/soak/oracle.py
@@ -19,11 +19,11 @@
 __all__ = ["Oracle", "Rule"]
 
 TIME_SLACK_S = 0.05  # tolerance of every time limit
-BUDGET_SLACK_S = 0.15  # tolerance of the X-Budget sent to a server over the remaining time of the request
+BUDGET_SLACK_S = 0.15  # a server's X-Budget may exceed the remaining time of the request by this
 DISCONNECT_GRACE_S = 0.1  # attempts may still begin for this long after the client has disconnected
 ANSWER_GRACE_S = 0.5  # an answer may come this long after the deadline before it counts as lost
 INVALID_REQUEST_LIMIT_S = 3.0  # time for the node to answer an invalid request with an error or a close
-OVERLAP_CHECK_S = 0.1  # delay of the overlap check; the end of an earlier attempt is recorded by then
+OVERLAP_CHECK_DELAY_S = 0.1  # by then, the end of an earlier attempt has been recorded
 
 
 class Oracle:
@@ -81,7 +81,7 @@
         self.requests[request_id] = RequestRecord(request_id, class_name, node, self._now_s(), budget_s)
 
     def request_resent(self, request_id: str) -> None:
-        """Record that a client sends a request again whose connection ended while it was on its way."""
+        """Record that a client sends a request again because its connection ended before the answer."""
         self.requests[request_id].sent_at_s = self._now_s()
 
     def client_disconnected(self, request_id: str) -> None:
@@ -112,7 +112,10 @@
     # Servers
 
     def attempt_began(self, request_id: str, server: str, at_s: float) -> None:
-        """Check an attempt whose first byte has arrived: its server must not be draining or removed."""
+        """Check an attempt whose first byte arrived at `at_s`.
+
+        A node must not send to a draining or removed server more than `DRAIN_GRACE_S` after the notification.
+        """
         request = self.requests.get(request_id)
         if request is None:
             return
@@ -120,13 +123,15 @@
         if inactive_from_s is None or at_s <= inactive_from_s + settings.DRAIN_GRACE_S + self._slack_s():
             return
         late_s = at_s - inactive_from_s
-        self.report(Rule.DRAIN, server, f"sent by node {request.node} {late_s:.3f} s after it was notified")
+        detail = f"sent by node {request.node} {late_s:.3f} s after it was notified of the drain or removal"
+        self.report(Rule.DRAIN, server, detail)
 
     def attempt_arrived(self, class_name: str, attempt: AttemptRecord, budget_s: float) -> None:
         """Record and check an attempt whose last byte has arrived; `budget_s` is its X-Budget."""
         request = self.requests.get(attempt.request_id)
         if request is None or request.class_name != class_name:
-            self.report(Rule.DUPLICATE, attempt.request_id, "no client sent this request")
+            detail = f"no client sent this request in class {class_name!r:.60}"
+            self.report(Rule.DUPLICATE, attempt.request_id, detail)
             return
         self._check_deadline(request, attempt, budget_s)
         self._check_disconnected(request, attempt)
@@ -143,7 +148,7 @@
         for earlier in request.attempts:
             if earlier is attempt:
                 return
-            if earlier.closed_at_s is None or earlier.closed_at_s > latest_end_s:
+            if earlier.ended_at_s is None or earlier.ended_at_s > latest_end_s:
                 self.report(Rule.DUPLICATE, request.request_id, "two attempts in flight at once")
 
     def _slack_s(self) -> float:
@@ -181,10 +186,11 @@
     def _check_deduplication(
         self, request: RequestRecord, first: AttemptRecord, attempt: AttemptRecord
     ) -> None:
-        """Check that a retry arrives at the first attempt's group, before that group forgets the key."""
+        """Check that a retry arrives at the first attempt's group, before the key expires there."""
         after_s = attempt.last_byte_at_s - first.last_byte_at_s
         if attempt.group != first.group:
-            self.report(Rule.DUPLICATE, request.request_id, "keyed, and sent to another group")
+            detail = f"keyed, and sent to group {attempt.group} after group {first.group}"
+            self.report(Rule.DUPLICATE, request.request_id, detail)
         elif after_s > settings.DEDUPLICATION_WINDOW_MS / 1000.0 + self._slack_s():
             self.report(
                 Rule.DUPLICATE,
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from soak.oracle import OVERLAP_CHECK_S, Oracle
+from soak.oracle import OVERLAP_CHECK_DELAY_S, Oracle
 from soak.records import AttemptRecord
 from standins.sockets import HOST, reset_on_close
 
@@ -28,8 +28,8 @@
     NORMAL = "normal"
     HOLD = "hold"
     SPLIT = "split"
-    RESET = "reset"  # when a request is complete
-    CLOSES_IDLE = "closes_idle"  # right after an answer
+    RESET = "reset"  # resets a connection when a request on it is complete
+    CLOSES_IDLE = "closes_idle"  # closes a connection right after an answer
 
 
 class Proxy:
@@ -107,9 +107,9 @@
         self._parser = httptools.HttpRequestParser(self)
         self._headers: dict[str, str] = {}
         self._path = ""
-        self._first_byte_at_s: float | None = None  # of the request being received
+        self._first_byte_at_s: float | None = None  # None unless a request is being received
         self._attempt: AttemptRecord | None = None
-        self._requests = 0
+        self._requests_received = 0
         self._from_node: asyncio.Queue[bytes] = asyncio.Queue()
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -141,8 +141,8 @@
             task.cancel()
 
     def _end_attempt(self) -> None:
-        if self._attempt is not None and self._attempt.closed_at_s is None:
-            self._attempt.closed_at_s = self._loop.time()
+        if self._attempt is not None and self._attempt.ended_at_s is None:
+            self._attempt.ended_at_s = self._loop.time()
         self._attempt = None
 
     def reset(self) -> None:
@@ -171,13 +171,13 @@
         now_s = self._loop.time()
         first_at_s = self._first_byte_at_s if self._first_byte_at_s is not None else now_s
         self._first_byte_at_s = None
-        self._requests += 1
+        self._requests_received += 1
         request_id = self._headers.get("x-call-id", "")
         attempt = AttemptRecord(request_id, self._proxy.server, self._proxy.group, first_at_s, now_s)
         self._attempt = attempt
         oracle.attempt_began(request_id, self._proxy.server, first_at_s)
         oracle.attempt_arrived(self._path.strip("/"), attempt, float(self._headers.get("x-budget", "0")))
-        self._loop.call_later(OVERLAP_CHECK_S, oracle.check_overlap, attempt)
+        self._loop.call_later(OVERLAP_CHECK_DELAY_S, oracle.check_overlap, attempt)
 
     # Forwarding
 
@@ -210,7 +210,7 @@
         try:
             while data := await reader.read(READ_BYTES):
                 await self._proxy.wait_until_released()
-                is_answered = answers.count >= self._requests
+                is_answered = answers.count >= self._requests_received
                 if is_answered and self._loop.time() > answered_at_s + SECOND_ANSWER_WITHIN_S:
                     continue  # an unsolicited answer may be a few milliseconds late, not more
                 await self._write_to_node(data)
--- a/soak/records.py
+++ b/soak/records.py
@@ -12,7 +12,7 @@
 
     LOST = "lost"  # no answer, a late one, a second one, or a body that no server sent
     DUPLICATE = "duplicate"  # attempts that the class does not allow, or two in flight at once
-    DRAIN = "drain"  # sent to a server after the node was notified that it is draining or removed
+    DRAIN = "drain"  # sent to a server after the node was notified of its drain or removal
     SLOW_START = "failback"  # a server was overloaded during its slow start
     DISCONNECTED = "gone"  # sent after the client had disconnected
     DEADLINE = "deadline"  # the X-Budget sent to a server exceeds the remaining time
@@ -41,7 +41,7 @@
     group: int
     first_byte_at_s: float
     last_byte_at_s: float
-    closed_at_s: float | None = None  # when it was answered or its connection ended
+    ended_at_s: float | None = None  # time of the answer or of the connection's end
     was_rejected: bool = False
     body: bytes | None = None  # body of the server's answer; None without a complete 200
 
@@ -55,7 +55,7 @@
     node: int
     sent_at_s: float
     budget_s: float
-    disconnected_at_s: float = math.inf  # when its client disconnected
+    disconnected_at_s: float = math.inf
     is_answered: bool = False
     attempts: list[AttemptRecord] = field(default_factory=list)
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -24,7 +24,7 @@
 from soak.records import Rule, Violation
 from soak.schedule import MAX_DURATION_S, FaultKind, Schedule
 from soak.servers import ServerIdentity, SimulatedServer
-from soak.settings import GROUPS
+from soak.settings import SERVER_GROUPS
 from soak.shim import NoCompilerError, build_shim
 from standins.checkout import ROOT
 
@@ -32,14 +32,14 @@
 MIN_SERVERS = 4
 CLIENTS_PER_NODE = 6
 AGENTS_PER_NODE = 2
-MEAN_GAP_S = 0.12  # from an answer to the client's next request
+MEAN_THINK_TIME_S = 0.12  # mean time from an answer to the client's next request
 EXPECTED_LATENCY_S = 0.02  # approximate time to an answer, used to size the servers
-UTILIZATION = 0.8  # of the servers' capacity by the clients' requests
+TARGET_UTILIZATION = 0.8  # fraction of the servers' capacity that the clients' requests use
 LAG_INTERVAL_S = 0.02
-LAG_SAMPLES = 25  # the slack follows the worst of the last samples
-LAG_FACTOR = 2.0  # ratio of the slack to the measured lag
+LAG_SAMPLES = 25  # the slack is computed from the largest of this number of recent samples
+SLACK_PER_LAG = 2.0
 NODE_PORT = 9000
-FIRST_SERVER_HOST = 100  # last octet of the first server's address
+FIRST_SERVER_LAST_OCTET = 100  # the addresses below are those of the nodes
 START_TIMEOUT_S = 60.0
 
 
@@ -51,7 +51,7 @@
     requests: int
     attempts: int
     answers: dict[int, int]  # by status
-    has_shim: bool  # False if there was no C compiler: faults of system calls and clocks had no effect
+    has_shim: bool  # False without a C compiler: faults of clocks and system calls had no effect
     worst_lag_s: float  # largest delay of the soak's own event loop
 
 
@@ -62,8 +62,8 @@
 
 def server_capacity_per_s(nodes: int) -> float:
     """Return the requests per second that each warm server of a run can serve."""
-    requests_per_s = nodes * CLIENTS_PER_NODE / (MEAN_GAP_S + EXPECTED_LATENCY_S)
-    return requests_per_s / server_count(nodes) / UTILIZATION
+    requests_per_s = nodes * CLIENTS_PER_NODE / (MEAN_THINK_TIME_S + EXPECTED_LATENCY_S)
+    return requests_per_s / server_count(nodes) / TARGET_UTILIZATION
 
 
 def loopback_prefix() -> str:
@@ -105,8 +105,8 @@
         return oracle
 
     def _make_server(self, number: int) -> SimulatedServer:
-        host = f"{self._address_prefix}.{FIRST_SERVER_HOST + number}"
-        identity = ServerIdentity(f"s{number}", number % GROUPS, host)
+        host = f"{self._address_prefix}.{FIRST_SERVER_LAST_OCTET + number}"
+        identity = ServerIdentity(f"s{number}", number % SERVER_GROUPS, host)
         capacity = server_capacity_per_s(self._schedule.nodes)
         return SimulatedServer(self.oracle, self._registry, identity, capacity, self._rng)
 
@@ -186,7 +186,7 @@
             clients = [self._make_client(node.view, PatientClient) for _ in range(CLIENTS_PER_NODE)]
             self._clients.append(clients)
             for client in clients:
-                self._spawn(client.run(MEAN_GAP_S))
+                self._spawn(client.run(MEAN_THINK_TIME_S))
 
     def _make_client(self, node: NodeView, client_type: type[ClientType]) -> ClientType:
         return client_type(self.oracle, node, random.Random(self._rng.getrandbits(64)), self._new_id)
@@ -201,7 +201,7 @@
             due_s = self._loop.time() + LAG_INTERVAL_S
             await asyncio.sleep(LAG_INTERVAL_S)
             recent_s = [*recent_s[1:], self._loop.time() - due_s]
-            self.oracle.slack_s = LAG_FACTOR * max(recent_s)
+            self.oracle.slack_s = SLACK_PER_LAG * max(recent_s)
             self._worst_lag_s = max(self._worst_lag_s, recent_s[-1])
             for agent in self._registry.agents:
                 agent.record_overdue()
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -32,33 +32,34 @@
     SERVER_DRAIN = "server_drain"  # listed as draining, later as removed
     SERVER_RESTART = "server_restart"  # connections are reset, and the server returns cold
     SERVER_HANG = "server_hang"  # requests are read and not answered
-    SERVER_SLOW = "server_slow"
-    SERVER_ERRORS = "server_errors"  # 500
-    SERVER_REFUSES = "server_refuses"  # 503 with X-Rejected
+    SERVER_SLOW = "server_slow"  # answers are delayed by a multiple of the service time
+    SERVER_ERRORS = "server_errors"  # answers with status 500
+    SERVER_REFUSES = "server_refuses"  # answers with status 503 and X-Rejected
     SERVER_NO_LENGTH = "server_no_length"  # answers that end with the connection
     SERVER_SECOND_ANSWER = "server_second_answer"  # an unsolicited answer, a few milliseconds late
     SERVER_GARBAGE = "server_garbage"  # answers that are not HTTP, or truncated
     # The proxy in front of each server
     PROXY_HOLD = "proxy_hold"  # bytes are held, connections stay open
     PROXY_SPLIT = "proxy_split"  # bytes arrive in small pieces
-    PROXY_RESET = "proxy_reset"  # connections are reset with a request in flight
+    PROXY_RESET = "proxy_reset"  # connections are reset when a request on them is complete
     PROXY_CLOSES_IDLE = "proxy_closes_idle"  # connections are closed right after an answer
     # The discovery agents of one node
-    AGENT_SILENT = "agent_silent"  # calls are read and not answered
+    AGENT_SILENT = "agent_silent"  # requests are read and not answered
     AGENT_DOWN = "agent_down"  # connections are reset, including new ones
     AGENT_SLOW = "agent_slow"  # answers are delayed and sent in pieces
-    AGENT_RESETS = "agent_resets"  # open watches are reset once
+    AGENT_RESETS = "agent_resets"  # open connections, also those of watches, are reset once
     AGENT_FRAMING = "agent_framing"  # answers without a length, or in chunks
     # Clients
-    CALLERS_LEAVE = "callers_leave"  # disconnect with requests in flight
+    CALLERS_LEAVE = "callers_leave"  # clients disconnect with requests in flight
     CALLERS_FLOOD = "callers_flood"  # many requests in one write
     CALLERS_GARBAGE = "callers_garbage"  # invalid requests, alone or after a valid one
-    CALLERS_HALF = "callers_half"  # stop in the middle of a request
+    CALLERS_HALF = "callers_half"  # clients stop in the middle of a request
     CALLERS_IDLE = "callers_idle"  # many connections without a request
 
 
 SERVER_KINDS = frozenset(kind for kind in FaultKind if kind.value.startswith(("server_", "proxy_")))
-# A node answers nothing while it is paused or can't accept. After a longer fault, answers would be too late.
+# A node can't answer in time while it is paused or can't accept or open connections. Longer faults of these
+# kinds would make answers so late that they count as lost.
 MAX_DURATION_S = {FaultKind.NODE_PAUSE: 0.15, FaultKind.SOCKET_FAILS: 1.0, FaultKind.ACCEPT_FAILS: 0.4}
 MIN_DURATION_S = 0.05
 DEFAULT_MAX_DURATION_S = 4.0
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -1,4 +1,4 @@
-"""Simulated servers: they answer each request with a unique body, or fail as their mode says."""
+"""Simulated servers: they answer each request with a unique body, or fail according to their mode."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 MAX_QUEUE_S = 0.3  # a request that would wait longer is rejected
 SLOW_FACTOR = 15.0  # extra delay of a slow answer, relative to the service time
 SECOND_ANSWER_AFTER_S = 0.003
-RESET_AFTER_S = 0.005  # from an answer without a length to the reset that invalidates it
+RESET_DELAY_S = 0.005  # time from an answer without a length to the reset that invalidates it
 LARGE_BODY_BYTES = 30_000
 LARGE_BODY_FRACTION = 0.05
-TRUNCATED_FRACTION = 0.5  # of garbage answers; the others are not HTTP
-RESET_FRACTION = 0.5  # of garbage answers; the connection is reset after them
-RESET_WITHOUT_LENGTH_FRACTION = 0.3  # of answers without a length; they are ended by a reset
+TRUNCATED_GARBAGE_FRACTION = 0.5  # the other garbage answers are not HTTP
+RESET_GARBAGE_FRACTION = 0.5  # the connection is closed after the other garbage answers
+RESET_WITHOUT_LENGTH_FRACTION = 0.3  # the other answers without a length end with a close
 
 
 class ServerMode(Enum):
@@ -111,7 +111,7 @@
         self._registry.set_status(self.name, status)
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer each request until the connection is to be closed."""
+        """Answer each request until an answer ends the connection."""
         port = writer.get_extra_info("peername")[1]
         keeps_open = True
         while keeps_open:
@@ -175,10 +175,10 @@
     async def _write_garbage(self, writer: asyncio.StreamWriter, body: bytes) -> bool:
         """Write an invalid answer: the first half of a valid one, or bytes that are not HTTP."""
         answer = render_response(200, body)
-        is_truncated = self._rng.random() < TRUNCATED_FRACTION
+        is_truncated = self._rng.random() < TRUNCATED_GARBAGE_FRACTION
         writer.write(answer[: len(answer) // 2] if is_truncated else b"\x00 no HTTP\r\n\r\n")
         await writer.drain()
-        if self._rng.random() < RESET_FRACTION:
+        if self._rng.random() < RESET_GARBAGE_FRACTION:
             reset(writer.transport)
         return False
 
@@ -192,6 +192,6 @@
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
         if is_reset:
             await writer.drain()
-            await asyncio.sleep(RESET_AFTER_S)
+            await asyncio.sleep(RESET_DELAY_S)
             reset(writer.transport)
         return False
--- a/soak/shim.c
+++ b/soak/shim.c
@@ -19,7 +19,7 @@
     volatile int64_t wall_offset_ns;
     volatile int64_t accept_errno; /* error number of failing calls; 0: calls are passed on */
     volatile int64_t socket_errno;
-    volatile int64_t log_errno;
+    volatile int64_t log_errno; /* for writes to standard error */
     volatile int64_t calls_failed;
 };
 
--- a/soak/slow_start_check.py
+++ b/soak/slow_start_check.py
@@ -10,7 +10,7 @@
 from soak import settings
 
 SMALL_COUNT = 30.0  # number of allowed attempts in the window, below which the margin is wider
-# Margins for random variation: as many standard deviations, plus as many attempts.
+# A margin of N allows for random variation: N standard deviations plus N attempts.
 SMALL_COUNT_MARGIN = 3.0
 DEFAULT_MARGIN = 2.0
 # An overload counts only if more than this fraction of the attempts is from nodes notified of the start.
@@ -31,7 +31,7 @@
     def __init__(self, capacity_per_s: float) -> None:
         """`capacity_per_s` is the number of requests per second that a warm server can serve."""
         self._capacity_per_s = capacity_per_s
-        self._started_at_s: dict[str, float] = {}  # last start, by server; absent if running since the start
+        self._started_at_s: dict[str, float] = {}  # last start, by server; absent before a restart
         self._arrivals: defaultdict[str, deque[Arrival]] = defaultdict(deque)
 
     def server_started(self, server: str, at_s: float) -> None:
