--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -42,7 +42,7 @@
 
 
 def run_decisions(options: argparse.Namespace) -> None:
-    """Time the decision module in each combination of the options, in microseconds.
+    """Time the decision module for each combination of state, replicas and servers.
 
     Raises:
         RootError: The checkout's decision module can't be measured.
@@ -67,7 +67,7 @@
 
 
 def run_calls(options: argparse.Namespace) -> None:
-    """Measure a real node with each number of servers, as often as the option `rounds` says.
+    """Measure a real node with each number of servers, `options.rounds` times.
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
--- a/bench/arguments.py
+++ b/bench/arguments.py
@@ -9,7 +9,7 @@
 from bench.server_state import ServerState
 from standins.checkout import ROOT, CheckoutError, node_module
 
-SERVER_COUNTS = (15, 60, 240, 960, 3200)
+DECISIONS_SERVER_COUNTS = (15, 60, 240, 960, 3200)
 CALLS_SERVER_COUNTS = (30, 480)
 MAX_SERVERS = 10_000
 REPLICA_COUNTS = (1, 4, 16)
@@ -29,7 +29,7 @@
             values = [int(part) for part in text.split(",")]
         except ValueError:
             raise argparse.ArgumentTypeError(
-                f"must be whole numbers with commas between them, is {text!r:.60}"
+                f"must be comma-separated whole numbers, is {text!r:.60}"
             ) from None
         if not all(1 <= value <= maximum for value in values):
             raise argparse.ArgumentTypeError(f"must be from 1 to {maximum}, is {text!r:.60}")
@@ -39,7 +39,10 @@
 
 
 def integer(maximum: int) -> Callable[[str], int]:
-    """Return a parser of the first integer in such a list; it raises `ArgumentTypeError`."""
+    """Return a parser of an integer from 1 to `maximum`; it raises `ArgumentTypeError`.
+
+    Of a comma-separated list, it returns the first integer.
+    """
     parse_list = integer_list(maximum)
     return lambda text: parse_list(text)[0]
 
@@ -75,7 +78,9 @@
     except CheckoutError as problem:
         raise argparse.ArgumentTypeError(f"{text!r:.200}: {problem}") from None
     if not (path / module.partition(".")[0]).is_dir():
-        raise argparse.ArgumentTypeError(f"{text!r:.200} has no package of the node's module {module}")
+        raise argparse.ArgumentTypeError(
+            f"{text!r:.200} has no package that contains the node's module {module}"
+        )
     return path
 
 
@@ -93,7 +98,7 @@
 
 
 def _add_decisions(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--servers", type=integer_list(MAX_SERVERS), default=list(SERVER_COUNTS))
+    parser.add_argument("--servers", type=integer_list(MAX_SERVERS), default=list(DECISIONS_SERVER_COUNTS))
     parser.add_argument("--copies", type=integer_list(MAX_REPLICAS), default=list(REPLICA_COUNTS))
     parser.add_argument(
         "--states", type=server_states, default=list(ServerState), help="comma-separated: " + STATE_NAMES
@@ -106,5 +111,7 @@
     parser.add_argument("--servers", type=integer_list(MAX_SERVERS), default=list(CALLS_SERVER_COUNTS))
     parser.add_argument("--rate", type=number(1.0, MAX_RATE_PER_S), default=160.0, help="calls per second")
     parser.add_argument("--seconds", type=number(1.0, MAX_SECONDS), default=10.0)
-    parser.add_argument("--rounds", type=integer(MAX_ROUNDS), default=1, help="repeats of all server counts")
+    parser.add_argument(
+        "--rounds", type=integer(MAX_ROUNDS), default=1, help="number of runs per server count"
+    )
     parser.add_argument("--root", type=checkout, default=ROOT, help="the checkout that is measured")
--- a/bench/calls.py
+++ b/bench/calls.py
@@ -28,10 +28,10 @@
 __all__ = ["Figures", "Fleet", "FleetError", "measure"]
 
 DEADLINE_MS = 1000.0
-WARM_UP_S = 2.0  # calls before the measurement
-MAX_FAILED_FRACTION = 0.01  # of the calls; the figures are invalid if more fail
-MAX_MEDIAN_DELAY_S = 0.02  # of the client's sends; the figures are invalid if it is longer
-DESCRIPTORS = 2048  # limit of the node
+WARM_UP_S = 2.0  # calls are sent for this long before the measurement
+MAX_FAILED_CALLS_FRACTION = 0.01  # above it, the figures are invalid
+MAX_MEDIAN_SEND_DELAY_S = 0.02  # above it, the client was too slow, and the figures are invalid
+DESCRIPTOR_LIMIT = 2048
 BYTES_PER_KB = 1024.0
 CLASSES = [
     {
@@ -56,14 +56,14 @@
     """The parameters of a measurement."""
 
     servers: int
-    rate_per_s: float  # calls per second
-    seconds: float
+    calls_per_s: float
+    seconds: float  # duration of the measurement, without the warm-up
     root: Path  # checkout whose node is measured
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """The results of a run; the field names are the keys of its JSON line."""
+    """The results of a measurement; the field names are the keys of its JSON line."""
 
     servers: int
     calls: int
@@ -72,7 +72,7 @@
     added_p50_ms: float  # duration of a call less the service time of the server
     added_p99_ms: float
     peak_mb: float
-    list_kb: float  # endpoint lists sent by discovery
+    list_kb: float  # total size of the lists that discovery sent, from the start of the node
     worst_late_ms: float  # longest delay of the client in sending a call
 
 
@@ -97,7 +97,7 @@
 
 async def _measure(fleet: Fleet, folder: Path) -> Figures:
     server = SharedServer()
-    await server.start(backlog=DESCRIPTORS)
+    await server.start(backlog=DESCRIPTOR_LIMIT)
     agent = DiscoveryAgent(fleet.servers, server.address)
     await agent.start()
     port = free_port()
@@ -106,9 +106,9 @@
     client = SteadyClient(port, DEADLINE_MS / 1000.0)
     async with running_node(fleet.root, config) as node:
         await wait_until_ready(port, node)
-        await SteadyClient(port, DEADLINE_MS / 1000.0).run(fleet.rate_per_s, WARM_UP_S)
+        await SteadyClient(port, DEADLINE_MS / 1000.0).run(fleet.calls_per_s, WARM_UP_S)
         before_s = cpu_time_s(node.pid)
-        await client.run(fleet.rate_per_s, fleet.seconds)
+        await client.run(fleet.calls_per_s, fleet.seconds)
         usage = NodeUsage(cpu_time_s(node.pid) - before_s, peak_memory_mb(node.pid))
     return _figures(fleet, client, usage, agent.list_bytes)
 
@@ -119,7 +119,7 @@
         listen=f"{HOST}:{port}",
         discovery=discovery,
         seed="1",
-        limits={"sockets": DESCRIPTORS},
+        limits={"sockets": DESCRIPTOR_LIMIT},
         settings=node_settings(CLASSES, PERMISSIONS, RULES),
     )
 
@@ -127,11 +127,18 @@
 def _figures(fleet: Fleet, client: SteadyClient, usage: NodeUsage, list_bytes: int) -> Figures:
     """Calculate the figures of a run; raises `FleetError` if they are invalid."""
     calls = len(client.elapsed_s)
-    late_s = sorted(client.late_s)
-    if client.failed > MAX_FAILED_FRACTION * calls:
-        raise FleetError(f"{client.failed} of {calls} calls failed: the figures are invalid")
-    if late_s[len(late_s) // 2] > MAX_MEDIAN_DELAY_S:
-        raise FleetError("the client sent its calls too late: the figures are invalid")
+    send_delays_s = sorted(client.send_delays_s)
+    if client.failed > MAX_FAILED_CALLS_FRACTION * calls:
+        raise FleetError(
+            f"invalid figures: {client.failed} of {calls} calls failed,"
+            f" at most {MAX_FAILED_CALLS_FRACTION:.0%} may fail"
+        )
+    median_send_delay_s = send_delays_s[len(send_delays_s) // 2]
+    if median_send_delay_s > MAX_MEDIAN_SEND_DELAY_S:
+        raise FleetError(
+            f"invalid figures: the client's median send delay must be at most {MAX_MEDIAN_SEND_DELAY_S:g} s,"
+            f" is {median_send_delay_s:.4f} s"
+        )
     added_ms = sorted((elapsed_s - SERVICE_TIME_S) * 1000.0 for elapsed_s in client.elapsed_s)
     return Figures(
         servers=fleet.servers,
@@ -142,5 +149,5 @@
         added_p99_ms=added_ms[int(0.99 * calls)],
         peak_mb=usage.peak_mb,
         list_kb=list_bytes / BYTES_PER_KB,
-        worst_late_ms=late_s[-1] * 1000.0,
+        worst_late_ms=send_delays_s[-1] * 1000.0,
     )
--- a/bench/client.py
+++ b/bench/client.py
@@ -18,11 +18,11 @@
         self._budget_s = budget_s
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self.elapsed_s: list[float] = []  # duration of each request
-        self.late_s: list[float] = []  # delay of each request after its scheduled time
+        self.send_delays_s: list[float] = []  # actual less scheduled send time of each request
         self.failed = 0
 
     async def send(self, number: int) -> None:
-        """Send one request and read its response; the request counts as failed without a 200."""
+        """Send one request and read its response; a request without a 200 counts as failed."""
         began_s = time.perf_counter()
         try:
             connection = self._idle.pop() if self._idle else await asyncio.open_connection(HOST, self._port)
@@ -45,6 +45,6 @@
         for number in range(int(rate_per_s * seconds)):
             due_s = began_s + number / rate_per_s
             await asyncio.sleep(max(0.0, due_s - loop.time()))
-            self.late_s.append(loop.time() - due_s)
+            self.send_delays_s.append(loop.time() - due_s)
             requests.append(loop.create_task(self.send(number)))
         await asyncio.gather(*requests)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -34,7 +34,7 @@
 CONNECT_FAILED_AFTER_MS = 0.1
 OBJECTIVE_MS = 100.0
 DEADLINE_MS = 400.0
-RAMP_MS = 600_000.0  # long enough that a started server stays cold for the whole run
+RAMP_MS = 600_000.0  # long enough that a server that has just started stays cold for the whole run
 BEGIN_MS = 1000.0
 SERVERS_STARTED_AT_MS = 900.0
 UPDATES = 20
@@ -43,7 +43,7 @@
 QUEUE_LENGTHS = (0, 0, 0, 1, 2)  # reported queue lengths, drawn with equal probability
 ZONES = 5
 GROUPS = 7
-HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # distributes server ids like hashes of names
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads server ids over 64 bits, as the hashes of names are spread
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Mean times of a run in microseconds."""
+    """Mean times of a run in microseconds: elapsed for requests and outcomes, processor time for lists."""
 
     request_us: float  # a request, including the selection of its server
     outcome_us: float  # the outcome of an attempt
@@ -134,7 +134,7 @@
         self._handle(Phase.REQUEST, RequestReceived(f"r{self._requests}", "read", DEADLINE_MS))
 
     def _advance(self, until_ms: float) -> None:
-        """Handle the events that are due up to a time."""
+        """Advance the clock to `until_ms` and handle the events that are due by then."""
         while self._due and self._due[0][0] <= until_ms:
             self._now_ms, _, event = heapq.heappop(self._due)
             phase = Phase.TIMER if isinstance(event, TimerFired) else Phase.OUTCOME
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -18,7 +18,7 @@
 
 
 class SharedServer(Listener):
-    """Answers each request after the service time; the requests have no body."""
+    """Answers each request after the service time; it expects requests without a body."""
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer requests until the node ends the connection."""
@@ -29,7 +29,7 @@
 
 
 class DiscoveryAgent(Listener):
-    """Sends the same complete list on each request, and an empty update to each watch after its wait."""
+    """Answers a request with the complete list, and a watch with an empty update after its wait."""
 
     def __init__(self, servers: int, server_address: str) -> None:
         super().__init__()
@@ -59,6 +59,6 @@
 
 
 def _wait_ms(head: bytes) -> int | None:
-    """Return the wait time of a watch; None for a call for the complete list."""
+    """Return the wait time of a watch; None for a request for the complete list."""
     values = head.partition(b"wait=")[2].split()
     return int(values[0]) if values else None
--- a/standins/listener.py
+++ b/standins/listener.py
@@ -38,7 +38,7 @@
         try:
             await self.handle_connection(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # the node ended the connection, or the test or run ended
+            pass  # the node ended the connection, or the end of the test or run cancelled this task
         finally:
             self.closed_connections += 1
             self._writers.discard(writer)
--- a/standins/scripted.py
+++ b/standins/scripted.py
@@ -11,7 +11,8 @@
 from standins.messages import Message, read_message, render_response
 from standins.sockets import reset_on_close
 
-# Special values in a script. HANG replaces a response; RESET and CLOSE replace or follow one.
+# Special values in a script. HANG replaces a response. RESET and CLOSE end the connection, at once or after
+# the response that they are appended to.
 HANG = b"hang"  # no response is sent and the connection stays open
 RESET = b"reset"
 CLOSE = b"close"
@@ -70,7 +71,7 @@
 
 
 class ScriptedDiscoveryAgent(ScriptedListener):
-    """A discovery agent that responds to each watch with the next update published by the test."""
+    """A discovery agent that responds to each watch with the next update that the test publishes."""
 
     def __init__(self) -> None:
         super().__init__()
