--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes with a deliberate fault each, which test that the soak's oracle detects violations."""
+"""Faulty versions of the node, with which the tests check that the soak's oracle detects violations."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
                 "if True:\n            return False",
             ),
         ),
-        faults_per_s=5.0,  # many, so that clients disconnect while failed requests are retried
+        faults_per_s=5.0,  # high, so that clients disconnect while failed requests are retried
     ),
     BrokenNode(
         "drains are ignored",
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""Tests of the bench: it reports bad arguments, and its figures come from successful calls."""
+"""Tests of the bench: it reports invalid arguments, and its figures come from successful calls."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def bench(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "bench", *arguments],
-        check=False,  # tests check the exit status
+        check=False,  # the tests assert the exit status
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -40,7 +40,7 @@
         ("calls", "--rounds", "21"),
     ],
 )
-def test_bad_arguments_exit_with_status_2_and_an_error(arguments: tuple[str, ...]) -> None:
+def test_invalid_arguments_exit_with_status_2_and_an_error(arguments: tuple[str, ...]) -> None:
     result = bench(*arguments)
     assert result.returncode == 2 and not result.stdout
     assert result.stderr.splitlines()[-1].startswith("bench")
@@ -61,13 +61,13 @@
     assert min(cost.request_us, cost.outcome_us, cost.update_us, cost.complete_list_us) > 0.0
 
 
-def test_calls_measures_a_real_node() -> None:
+def test_calls_through_a_real_node_succeed_and_give_positive_figures() -> None:
     figures = measure(Fleet(20, 40.0, 1.0, ROOT))
     assert figures.calls == 40 and figures.failed == 0
     assert figures.cpu_us_a_call > 0.0 and figures.peak_mb > 5.0
 
 
-def test_measuring_a_node_that_does_not_start_raises(tmp_path: Path) -> None:
+def test_measuring_a_node_that_does_not_start_raises_fleet_error(tmp_path: Path) -> None:
     with pytest.raises(FleetError, match="ended with status"):
         measure(Fleet(20, 40.0, 1.0, tmp_path))
 
@@ -77,14 +77,14 @@
     (root / "deploy" / "balancer.toml").write_text(text)
 
 
-def test_the_module_of_a_node_is_read_from_the_deploy_file(tmp_path: Path) -> None:
+def test_the_module_of_a_node_is_read_from_the_deploy_file_and_has_a_default(tmp_path: Path) -> None:
     assert node_module(tmp_path) == "workspond"
     write_deploy_file(tmp_path, 'run = "exec .venv/bin/python -B -m other.module --flag"\n')
     assert node_module(tmp_path) == "other.module"
 
 
 @pytest.mark.parametrize("text", ["", 'run = "exec python"\n', "run = ", "\x00"])
-def test_a_deploy_file_without_a_module_raises(text: str, tmp_path: Path) -> None:
+def test_a_deploy_file_without_a_module_raises_checkout_error(text: str, tmp_path: Path) -> None:
     write_deploy_file(tmp_path, text)
     with pytest.raises(CheckoutError):
         node_module(tmp_path)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,6 +19,6 @@
     "text",
     ["tests/test_x.py::test_y", "tests/test_x.py::test_y: no reason given", f"{LINE}\n" * (MAX_LISTED + 1)],
 )
-def test_a_line_without_a_cause_or_issue_and_a_list_over_the_maximum_raise(text: str) -> None:
+def test_a_line_without_a_cause_or_issue_or_a_list_over_the_maximum_raises(text: str) -> None:
     with pytest.raises(KnownRedError):
         parse_known_failures(text)
--- a/tests/test_recorded_answers.py
+++ b/tests/test_recorded_answers.py
@@ -14,7 +14,7 @@
 from tests.peers import HANG, Server, node_environment, run, until
 from tests.test_recorded_bytes import CLOSING_REQUEST, CLOSING_RESPONSE, DONE, GET, POST, REFUSED, exchange
 
-PHRASE_413 = HTTPStatus(413).phrase.encode()  # differs between Python versions: 3.13 changed it
+PHRASE_413 = HTTPStatus(413).phrase.encode()  # Python 3.13 changed the phrase
 
 
 def bad_request(reason: bytes) -> bytes:
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -55,8 +55,8 @@
         """Await a read and record its bytes, including those before an early end of the connection."""
         try:
             data: bytes = await read
-        except asyncio.IncompleteReadError as end:
-            self._recording += end.partial
+        except asyncio.IncompleteReadError as error:
+            self._recording += error.partial
             raise
         self._recording += data
         return data
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -26,7 +26,7 @@
 def soak(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "soak", *arguments],
-        check=False,  # tests check the exit status
+        check=False,  # the tests assert the exit status
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -91,20 +91,20 @@
         ("--schedule", str(ROOT / "README.md")),
     ],
 )
-def test_bad_arguments_exit_with_status_2_and_an_error(arguments: tuple[str, str]) -> None:
+def test_invalid_arguments_exit_with_status_2_and_an_error(arguments: tuple[str, str]) -> None:
     result = soak(*arguments)
     assert result.returncode == 2 and not result.stdout
     assert result.stderr.splitlines()[-1].startswith("soak: ")
 
 
-def test_the_same_seed_draws_the_same_schedule_and_json_restores_it() -> None:
+def test_equal_seeds_draw_equal_schedules_that_json_round_trips() -> None:
     drawn = [draw_schedule(7, 20.0, 6, 4, frozenset(FaultKind)) for _ in range(2)]
     assert drawn[0] == drawn[1] == read_schedule(drawn[0].to_json())
     assert drawn[0] != draw_schedule(8, 20.0, 6, 4, frozenset(FaultKind))
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"faults": [{"kind": "nonsense"}]}'])
-def test_text_that_is_not_a_schedule_raises(text: str) -> None:
+def test_text_that_is_not_a_schedule_raises_schedule_error(text: str) -> None:
     with pytest.raises(ScheduleError):
         read_schedule(text)
 
@@ -124,7 +124,7 @@
 def test_a_process_that_ends_just_before_sigkill_is_not_a_crash(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process ends between the timeout and SIGKILL, so that `kill` raises ProcessLookupError."""
+    """The process ends after the timeout and before SIGKILL, so that `kill` raises ProcessLookupError."""
 
     class ProcessEndingAtKill:
         returncode: int | None = None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -180,7 +180,7 @@
     assert send["kind"] == "SubmitTo" and send["request_id"] == "q" and send["within_ms"] <= 2500.0
 
 
-def test_power_off_and_launch_in_one_batch_start_the_node_again() -> None:
+def test_power_off_and_launch_in_one_batch_restart_the_node() -> None:
     lines = [
         batch(1, *launch_items("node-0")),
         batch(2, {"kind": "PowerOff", "node": "node-0"}, *launch_items("node-0")),
@@ -233,7 +233,7 @@
     assert len(read_replies(run_adapter(lines))) == len(lines)
 
 
-def test_each_action_has_a_format_that_names_only_its_own_attributes() -> None:
+def test_each_action_has_a_format_that_names_only_attributes_of_the_action() -> None:
     assert set(ACTION_FORMATS) == set(get_args(PolicyAction))
     for action, action_format in ACTION_FORMATS.items():
         names = {field.name for field in dataclasses.fields(action)}
--- a/tests/wire_simulation.py
+++ b/tests/wire_simulation.py
@@ -13,8 +13,10 @@
 from tests.recorded_sessions import Session
 
 Json = dict[str, Any]
-Event = tuple[float, int, str, Callable[[], list[Json]]]  # time in ms, order, node, and function to run
+# Time in ms, order of scheduling, node, and the function that runs the event and returns the batch items.
+Event = tuple[float, int, str, Callable[[], list[Json]]]
 TIMEOUT_ABOVE, NOT_SENT_ABOVE = 0.98, 0.99  # an attempt with a higher random draw times out, or is not sent
+# Dispositions of attempts on the wire
 OK, ERROR, REJECTED, TIMEOUT, CONNECT_FAILED, RESET, NOT_SENT = 100, 301, 302, 303, 304, 305, 307
 
 
@@ -60,15 +62,15 @@
         for node in self.nodes:
             self.schedule(0.0, "", partial(self.launch, node))
             self.schedule(session.node_restart_after_ms, "", partial(self.restart, node))
-        for after_ms, node, cls in session.arrivals(self.rng, self.nodes):
-            self.schedule(after_ms, "", partial(self.arrive, node, cls))
+        for after_ms, node, request_class in session.arrivals(self.rng, self.nodes):
+            self.schedule(after_ms, "", partial(self.create_request, node, request_class))
         for step in range(1, session.list_updates + 1):
             self.schedule(step * session.arrival_span_ms / (session.list_updates + 1), "", self.change_list)
 
     # The input and output streams of the adapter
 
     def readline(self) -> str:
-        """Return the next batch, with the events due at the next tick; empty at the end of the session."""
+        """Return a batch of the events due at the next tick, as a line; empty at the end of the session."""
         self.events = [event for event in self.events if event[0] < self.session.end_at_ms]
         heapq.heapify(self.events)
         if not self.events:
@@ -154,14 +156,14 @@
         return [{"kind": "PowerOff", "node": node}, *self.launch(node)]
 
     def answer_subscription(self, node: str) -> list[Json]:
-        """Answer a subscription to the list: with a complete list or a failure."""
+        """Answer a subscription to the list with a complete list or a failure."""
         if self.rng.random() < self.session.list_failure_fraction:
             return [{"kind": "View", "node": node, "form": "FAILED", "stamp": 0, "bank": 0}]
         self.subscribed.add(node)
         return [self.page_event(self.listed_entries()), self.view_event(node, "FULL")]
 
     def change_list(self) -> list[Json]:
-        """Change some entries and notify the subscribers, or make the subscription of one node fail."""
+        """Change some entries, then notify the subscribers or make one subscription fail."""
         self.list_version += 1
         changed = self.session.change_entries(
             self.rng, [server.entry for server in self.servers.values()], self.now_ms
@@ -179,31 +181,36 @@
 
     # Clients
 
-    def arrive(self, node: str, cls: Json) -> list[Json]:
+    def create_request(self, node: str, request_class: Json) -> list[Json]:
         """Create a request; its client disconnects after the deadline, or earlier at random."""
         request_id = f"{node}-{len(self.requests)}"
-        ttl_ms = round(cls["give_up_ms"] * self.rng.choice((0.3, 0.6, 1.0)), 3)
-        request = self.requests[request_id] = RequestModel(node, self.now_ms + ttl_ms, cls["stream"])
-        leaves_early = self.rng.random() < self.session.client_leave_fraction
+        ttl_ms = round(request_class["give_up_ms"] * self.rng.choice((0.3, 0.6, 1.0)), 3)
+        request = self.requests[request_id] = RequestModel(
+            node, self.now_ms + ttl_ms, request_class["stream"]
+        )
+        disconnects_early = self.rng.random() < self.session.client_leave_fraction
         disconnect_after_ms = (
-            ttl_ms * self.rng.random() if leaves_early else ttl_ms + self.session.tick_ms * 2
+            ttl_ms * self.rng.random() if disconnects_early else ttl_ms + self.session.tick_ms * 2
         )
         self.schedule(disconnect_after_ms, node, partial(self.disconnect, request_id, request))
         item = {
             "kind": "JobIn",
             "node": node,
             "request_id": request_id,
-            "type": cls["name"],
+            "type": request_class["name"],
             "ttl_ms": ttl_ms,
         }
         owners = [tenant["name"] for tenant in self.session.settings["tenants"]]
         item["owner"] = self.rng.choice(owners) if owners else self.rng.choice((0, None))
         if self.rng.random() < 0.1:
             item |= {"again_by_client": True, "update": True, "entity": "acct/k1", "size_hint_ms": 12.0}
-        return [item, *self.unused_events(node)]
+        return [item, *self.ignored_events(node)]
+
+    def ignored_events(self, node: str) -> list[Json]:
+        """Return, at random, a status answer and a neighbour's message, which the node must ignore.
 
-    def unused_events(self, node: str) -> list[Json]:
-        """Return, at random, events that this node must ignore."""
+        The node neither probes servers nor exchanges messages with its neighbours.
+        """
         if self.rng.random() < 0.95:
             return []
         server = self.rng.choice(list(self.servers))
@@ -212,7 +219,7 @@
         return [status, {"kind": "NeighbourSays", "node": node, "src": 2, "msg": "68692037"}]
 
     def disconnect(self, request_id: str, request: RequestModel) -> list[Json]:
-        """Disconnect the client, unless its request is finished."""
+        """Disconnect the client of a request, unless the request is finished."""
         if request.finished:
             return []
         request.finished = True
@@ -223,13 +230,13 @@
     def begin_attempt(self, action: Json) -> None:
         """Begin an attempt: draw its outcome and schedule its end."""
         request, server = self.requests[action["request_id"]], self.servers[action["server"]]
-        code, duration_ms = self.draw_outcome(request, server, action.get("within_ms") or 0.0)
+        disposition, duration_ms = self.draw_outcome(request, server, action.get("within_ms") or 0.0)
         number, request.attempts = request.attempts, request.attempts + 1
         server.in_flight += 1
         ended = {"kind": "Completed", "node": action["node"], "request_id": action["request_id"]}
-        ended |= {"settled": False, "disposition": code, "duration_ms": duration_ms}
+        ended |= {"settled": False, "disposition": disposition, "duration_ms": duration_ms}
         ended |= {"server": action["server"], "send_no": number}
-        if request.is_stream and code == OK:
+        if request.is_stream and disposition == OK:
             names = ("node", "request_id", "server", "send_no")
             started = {"kind": "Streaming", **{name: ended[name] for name in names}}
             started["duration_ms"] = round(duration_ms / 2.0, 3)
@@ -254,7 +261,7 @@
         return (OK, round(work_ms, 3)) if work_ms < limit_ms else (TIMEOUT, limit_ms)
 
     def find_failure(self, server: ServerModel, draw: float, limit_ms: float) -> tuple[int, float] | None:
-        """Return how an attempt fails at a server, and after how many milliseconds; None if it does not."""
+        """Return how an attempt fails, and after how many milliseconds; None if it does not fail."""
         session = self.session
         if draw < server.unreachable_fraction or server.entry["health"] == "terminated":
             return CONNECT_FAILED, min(limit_ms, session.settings["permissions"]["connect_timeout_ms"])
@@ -270,6 +277,6 @@
         """End an attempt; a success finishes the request."""
         server.in_flight = max(0, server.in_flight - 1)
         request.finished |= ended["disposition"] == OK
-        fields = {"inflight": server.in_flight, "queue": self.rng.randrange(-1, 4), "util": None}
-        reported = self.session.settings["stats"]["how"] == "piggyback"
-        return [ended | {"settled": request.finished} | ({"report": fields} if reported else {})]
+        report = {"inflight": server.in_flight, "queue": self.rng.randrange(-1, 4), "util": None}
+        has_report = self.session.settings["stats"]["how"] == "piggyback"
+        return [ended | {"settled": request.finished} | ({"report": report} if has_report else {})]
