--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from bench.arguments import parse_arguments
-from bench.calls import Fleet, FleetError, measure
+from bench.calls import Measurement, MeasurementError, measure
 from standins.checkout import CheckoutError
 
 
@@ -71,11 +71,11 @@
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
-        FleetError: A run gave no valid figures.
+        MeasurementError: A run gave no valid figures.
     """
     print_row("servers", "cpu us", "p50 ms", "p99 ms", "MB", "lists KB", "calls")
     for servers in options.servers * options.rounds:
-        figures = measure(Fleet(servers, options.rate, options.seconds, options.root))
+        figures = measure(Measurement(servers, options.rate, options.seconds, options.root))
         print(json.dumps(asdict(figures)), flush=True)
         print_row(
             servers,
@@ -96,7 +96,7 @@
             run_decisions(options)
         else:
             run_calls(options)
-    except (CheckoutError, FleetError, RootError) as problem:
+    except (CheckoutError, MeasurementError, RootError) as problem:
         print(f"bench: {problem}", file=sys.stderr)
         return 2
     return 0
--- a/bench/calls.py
+++ b/bench/calls.py
@@ -16,7 +16,7 @@
 from bench.client import SteadyClient
 from bench.fleet import SERVICE_TIME_S, DiscoveryAgent, SharedServer
 from bench.node_process import (
-    FleetError,
+    MeasurementError,
     cpu_time_s,
     peak_memory_mb,
     running_node,
@@ -25,7 +25,7 @@
 from standins.node_config import Rules, node_config, node_settings
 from standins.sockets import HOST, free_port
 
-__all__ = ["Figures", "Fleet", "FleetError", "measure"]
+__all__ = ["Figures", "Measurement", "MeasurementError", "measure"]
 
 DEADLINE_MS = 1000.0
 WARM_UP_S = 2.0  # calls are sent for this long before the measurement
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class Measurement:
     """The parameters of a measurement."""
 
     servers: int
@@ -84,33 +84,33 @@
     peak_mb: float
 
 
-def measure(fleet: Fleet) -> Figures:
-    """Measure one fleet.
+def measure(measurement: Measurement) -> Figures:
+    """Run a measurement and return its figures.
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
-        FleetError: The run gave no valid figures.
+        MeasurementError: The run gave no valid figures.
     """
     with tempfile.TemporaryDirectory(prefix="bench-") as folder:
-        return uvloop.run(_measure(fleet, Path(folder)))
+        return uvloop.run(_measure(measurement, Path(folder)))
 
 
-async def _measure(fleet: Fleet, folder: Path) -> Figures:
+async def _measure(measurement: Measurement, folder: Path) -> Figures:
     server = SharedServer()
     await server.start(backlog=DESCRIPTOR_LIMIT)
-    agent = DiscoveryAgent(fleet.servers, server.address)
+    agent = DiscoveryAgent(measurement.servers, server.address)
     await agent.start()
     port = free_port()
     config = folder / "config.json"
     config.write_text(json.dumps(_node_config(port, agent.address)))
     client = SteadyClient(port, DEADLINE_MS / 1000.0)
-    async with running_node(fleet.root, config) as node:
+    async with running_node(measurement.root, config) as node:
         await wait_until_ready(port, node)
-        await SteadyClient(port, DEADLINE_MS / 1000.0).run(fleet.calls_per_s, WARM_UP_S)
+        await SteadyClient(port, DEADLINE_MS / 1000.0).run(measurement.calls_per_s, WARM_UP_S)
         before_s = cpu_time_s(node.pid)
-        await client.run(fleet.calls_per_s, fleet.seconds)
+        await client.run(measurement.calls_per_s, measurement.seconds)
         usage = NodeUsage(cpu_time_s(node.pid) - before_s, peak_memory_mb(node.pid))
-    return _figures(fleet, client, usage, agent.list_bytes)
+    return _figures(measurement, client, usage, agent.list_bytes)
 
 
 def _node_config(port: int, discovery: str) -> dict[str, object]:
@@ -124,24 +124,24 @@
     )
 
 
-def _figures(fleet: Fleet, client: SteadyClient, usage: NodeUsage, list_bytes: int) -> Figures:
-    """Calculate the figures of a run; raises `FleetError` if they are invalid."""
+def _figures(measurement: Measurement, client: SteadyClient, usage: NodeUsage, list_bytes: int) -> Figures:
+    """Calculate the figures of a run; raises `MeasurementError` if they are invalid."""
     calls = len(client.elapsed_s)
     send_delays_s = sorted(client.send_delays_s)
     if client.failed > MAX_FAILED_CALLS_FRACTION * calls:
-        raise FleetError(
+        raise MeasurementError(
             f"invalid figures: {client.failed} of {calls} calls failed,"
             f" at most {MAX_FAILED_CALLS_FRACTION:.0%} may fail"
         )
     median_send_delay_s = send_delays_s[len(send_delays_s) // 2]
     if median_send_delay_s > MAX_MEDIAN_SEND_DELAY_S:
-        raise FleetError(
+        raise MeasurementError(
             f"invalid figures: the client's median send delay must be at most {MAX_MEDIAN_SEND_DELAY_S:g} s,"
             f" is {median_send_delay_s:.4f} s"
         )
     added_ms = sorted((elapsed_s - SERVICE_TIME_S) * 1000.0 for elapsed_s in client.elapsed_s)
     return Figures(
-        servers=fleet.servers,
+        servers=measurement.servers,
         calls=calls,
         failed=client.failed,
         cpu_us_a_call=usage.cpu_s / calls * 1e6,
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One run: the numbers of servers and replicas, the state of the servers, and the requests to time."""
+    """One run: the numbers of servers, replicas and timed calls, and the state of the servers."""
 
     servers: int
     replicas: int
--- a/bench/node_process.py
+++ b/bench/node_process.py
@@ -19,7 +19,7 @@
 KB_PER_MB = 1024.0
 
 
-class FleetError(Exception):
+class MeasurementError(Exception):
     """Raised for a run without valid figures; the message gives the reason in one line."""
 
 
@@ -57,16 +57,16 @@
     """Wait until the node is ready.
 
     Raises:
-        FleetError: The process ended, or was not ready in time.
+        MeasurementError: The process ended, or was not ready in time.
     """
     deadline_s = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline_s:
         if process.returncode is not None:
-            raise FleetError(f"the node ended with status {process.returncode}")
+            raise MeasurementError(f"the node ended with status {process.returncode}")
         if await is_ready(HOST, port):
             return
         await asyncio.sleep(READY_POLL_S)
-    raise FleetError(f"the node was not ready within {READY_TIMEOUT_S:.0f} s")
+    raise MeasurementError(f"the node was not ready within {READY_TIMEOUT_S:.0f} s")
 
 
 def cpu_time_s(pid: int) -> float:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -16,7 +16,9 @@
 from soak.records import AttemptRecord
 from standins.sockets import HOST, reset_on_close
 
-SECOND_ANSWER_WITHIN_S = 0.006  # an unsolicited answer is forwarded only within this time of the previous one
+# An unsolicited answer is forwarded only within this time of the previous answer. After its reuse delay of
+# 10 ms, the node could take the unsolicited answer for the answer to its next request.
+SECOND_ANSWER_WITHIN_S = 0.006
 SPLIT_BYTES = 40
 SPLIT_INTERVAL_S = 0.001
 READ_BYTES = 65536
@@ -212,7 +214,7 @@
                 await self._proxy.wait_until_released()
                 is_answered = answers.count >= self._requests_received
                 if is_answered and self._loop.time() > answered_at_s + SECOND_ANSWER_WITHIN_S:
-                    continue  # an unsolicited answer may be a few milliseconds late, not more
+                    continue  # too late for an unsolicited answer
                 await self._write_to_node(data)
                 answered_at_s = self._loop.time()
                 self._end_attempt()
--- a/standins/scripted.py
+++ b/standins/scripted.py
@@ -19,7 +19,7 @@
 
 
 class ScriptedListener(Listener):
-    """Records each message and responds as returned by `script`."""
+    """Records each message and sends the response that `script` returns."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from bench.calls import Fleet, FleetError, measure
+from bench.calls import Measurement, MeasurementError, measure
 from bench.decisions import Case, Run
 from bench.server_state import ServerState
 from standins.checkout import ROOT, CheckoutError, node_module
@@ -62,14 +62,14 @@
 
 
 def test_calls_through_a_real_node_succeed_and_give_positive_figures() -> None:
-    figures = measure(Fleet(20, 40.0, 1.0, ROOT))
+    figures = measure(Measurement(20, 40.0, 1.0, ROOT))
     assert figures.calls == 40 and figures.failed == 0
     assert figures.cpu_us_a_call > 0.0 and figures.peak_mb > 5.0
 
 
 def test_measuring_a_node_that_does_not_start_raises_fleet_error(tmp_path: Path) -> None:
-    with pytest.raises(FleetError, match="ended with status"):
-        measure(Fleet(20, 40.0, 1.0, tmp_path))
+    with pytest.raises(MeasurementError, match="ended with status"):
+        measure(Measurement(20, 40.0, 1.0, tmp_path))
 
 
 def write_deploy_file(root: Path, text: str) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -191,18 +191,18 @@
 def test_decisions_do_not_depend_on_the_hash_seed_or_on_other_nodes_in_the_process() -> None:
     together = read_replies(run_adapter(fixed_batches(["node-0", "node-1"])))
     assert together == read_replies(run_adapter(fixed_batches(["node-0", "node-1"]), hash_seed="4242"))
-    for n, node in enumerate(["node-0", "node-1"]):
+    for number, node in enumerate(["node-0", "node-1"]):
         lines = (
             fixed_batches([node])
-            if n == 0
+            if number == 0
             else [
-                {**line, "items": [i for i in line["items"] if i.get("node", node) == node]}
+                {**line, "items": [item for item in line["items"] if item.get("node", node) == node]}
                 for line in fixed_batches(["node-0", "node-1"])
             ]
         )
         alone = read_replies(run_adapter(lines))
-        assert [r["actions"] for r in alone] == [
-            [a for a in r["actions"] if a["node"] == node] for r in together
+        assert [reply["actions"] for reply in alone] == [
+            [action for action in reply["actions"] if action["node"] == node] for reply in together
         ]
 
 
@@ -226,10 +226,10 @@
 def test_reports_with_missing_or_negative_values_and_owner_0_are_accepted() -> None:
     reports: list[Any] = [None, {}, {"queue": None}, {"queue": -3.0, "util": 0.5}, {"no_such_key": 1e300}]
     lines = [batch(1, *launch_items("node-0"))]
-    for n, report in enumerate(reports, 2):
-        request = {**request_item("node-0", f"q{n}"), "owner": 0}
-        outcome = {**outcome_item("node-0", {"request_id": f"q{n}", "server": 1}, 100), "report": report}
-        lines.append(batch(n, request, outcome))
+    for number, report in enumerate(reports, 2):
+        request = {**request_item("node-0", f"q{number}"), "owner": 0}
+        outcome = {**outcome_item("node-0", {"request_id": f"q{number}", "server": 1}, 100), "report": report}
+        lines.append(batch(number, request, outcome))
     assert len(read_replies(run_adapter(lines))) == len(lines)
 
 
