--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -38,7 +38,7 @@
     """
     if not (root / "workspond" / "policy").is_dir():
         raise RootError(f"{root} has no workspond/policy; only `calls` can measure such a checkout")
-    sys.path.insert(0, str(root))  # before the working directory
+    sys.path.insert(0, str(root))  # takes precedence over the working directory
 
 
 def run_decisions(options: argparse.Namespace) -> None:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -61,10 +61,10 @@
 class Cost:
     """Mean times of a run in microseconds: elapsed for requests and outcomes, processor time for lists."""
 
-    request_us: float  # a request, including the selection of its server
-    outcome_us: float  # the outcome of an attempt
-    update_us: float  # a list update with one entry
-    complete_list_us: float  # a complete list without changes
+    request_us: float  # time to handle a request, including the selection of its server
+    outcome_us: float  # time to handle the outcome of an attempt
+    update_us: float  # time to apply a list update with one entry
+    complete_list_us: float  # time to apply a complete list without changes
 
 
 class Phase(Enum):
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -34,7 +34,8 @@
 
     number: int
     address: tuple[str, int]
-    accepts_connections: bool = True  # False from soon after SIGTERM until a new process is ready
+    # False from soon after SIGTERM, or from the end of the process, until a new process is ready.
+    accepts_connections: bool = True
     killed_at_s: float = -1.0  # time of the last SIGKILL by a fault `node_kill`; -1 before the first
 
 
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -22,7 +22,7 @@
 # has had for longer.
 NOTIFICATION_LIMIT_S = 6.0
 SLOW_ANSWER_PIECES = 8
-SLOW_ANSWER_DELAY_S = 0.4  # delay before the first piece, and again the total delay after the pieces
+SLOW_ANSWER_DELAY_S = 0.4  # delay before the first piece; the pauses between the pieces add up to the same
 
 
 class Status(Enum):
--- a/soak/oracle.py
+++ b/soak/oracle.py
@@ -23,7 +23,7 @@
 DISCONNECT_GRACE_S = 0.1  # attempts may still begin for this long after the client has disconnected
 ANSWER_GRACE_S = 0.5  # an answer may come this long after the deadline before it counts as lost
 INVALID_REQUEST_LIMIT_S = 3.0  # time for the node to answer an invalid request with an error or a close
-OVERLAP_CHECK_DELAY_S = 0.1  # by then, the end of an earlier attempt has been recorded
+OVERLAP_CHECK_DELAY_S = 0.1  # time after an attempt's arrival by which the end of earlier ones is recorded
 
 
 class Oracle:
--- a/soak/records.py
+++ b/soak/records.py
@@ -11,10 +11,10 @@
     """The rules of a run; the value is the rule's name in the JSON lines."""
 
     LOST = "lost"  # no answer, a late one, a second one, or a body that no server sent
-    DUPLICATE = "duplicate"  # attempts that the class does not allow, or two in flight at once
-    DRAIN = "drain"  # sent to a server after the node was notified of its drain or removal
+    DUPLICATE = "duplicate"  # an attempt that the class does not allow, or two attempts in flight at once
+    DRAIN = "drain"  # an attempt was sent after the node was notified of the server's drain or removal
     SLOW_START = "failback"  # a server was overloaded during its slow start
-    DISCONNECTED = "gone"  # sent after the client had disconnected
+    DISCONNECTED = "gone"  # an attempt was sent after the client had disconnected
     DEADLINE = "deadline"  # the X-Budget sent to a server exceeds the remaining time
     PEER = "peer"  # an invalid request got neither an error nor a close
     CRASH = "crash"  # a process ended unexpectedly or with an error, or did not become ready
@@ -29,7 +29,7 @@
     request: str  # a request's id, or the name of the server, node or input concerned
     at_s: float
     detail: str
-    faults: tuple[str, ...]  # active at that time, as KIND@TARGET
+    faults: tuple[str, ...]  # the faults that were active at that time, as KIND@TARGET
 
 
 @dataclass(eq=False, slots=True)
