--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -67,7 +67,7 @@
     assert figures.cpu_us_a_call > 0.0 and figures.peak_mb > 5.0
 
 
-def test_measuring_a_node_that_does_not_start_raises_fleet_error(tmp_path: Path) -> None:
+def test_measuring_a_node_that_does_not_start_raises_measurement_error(tmp_path: Path) -> None:
     with pytest.raises(MeasurementError, match="ended with status"):
         measure(Measurement(20, 40.0, 1.0, tmp_path))
 
