--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from bench.arguments import parse_arguments
-from bench.calls import Fleet, FleetError, measure
+from bench.calls import Measurement, MeasurementError, measure
 from standins.checkout import CheckoutError
 
 
@@ -38,11 +38,11 @@
     """
     if not (root / "workspond" / "policy").is_dir():
         raise RootError(f"{root} has no workspond/policy; only `calls` can measure such a checkout")
-    sys.path.insert(0, str(root))  # before the working directory
+    sys.path.insert(0, str(root))  # takes precedence over the working directory
 
 
 def run_decisions(options: argparse.Namespace) -> None:
-    """Time the decision module in each combination of the options, in microseconds.
+    """Time the decision module for each combination of state, replicas and servers.
 
     Raises:
         RootError: The checkout's decision module can't be measured.
@@ -67,15 +67,15 @@
 
 
 def run_calls(options: argparse.Namespace) -> None:
-    """Measure a real node with each number of servers, as often as the option `rounds` says.
+    """Measure a real node with each number of servers, `options.rounds` times.
 
     Raises:
         CheckoutError: The checkout's deploy file names no module.
-        FleetError: A run gave no valid figures.
+        MeasurementError: A run gave no valid figures.
     """
     print_row("servers", "cpu us", "p50 ms", "p99 ms", "MB", "lists KB", "calls")
     for servers in options.servers * options.rounds:
-        figures = measure(Fleet(servers, options.rate, options.seconds, options.root))
+        figures = measure(Measurement(servers, options.rate, options.seconds, options.root))
         print(json.dumps(asdict(figures)), flush=True)
         print_row(
             servers,
@@ -96,7 +96,7 @@
             run_decisions(options)
         else:
             run_calls(options)
-    except (CheckoutError, FleetError, RootError) as problem:
+    except (CheckoutError, MeasurementError, RootError) as problem:
         print(f"bench: {problem}", file=sys.stderr)
         return 2
     return 0
--- a/soak/records.py
+++ b/soak/records.py
@@ -11,10 +11,10 @@
     """The rules of a run; the value is the rule's name in the JSON lines."""
 
     LOST = "lost"  # no answer, a late one, a second one, or a body that no server sent
-    DUPLICATE = "duplicate"  # attempts that the class does not allow, or two in flight at once
-    DRAIN = "drain"  # sent to a server after the node was notified that it is draining or removed
+    DUPLICATE = "duplicate"  # an attempt that the class does not allow, or two attempts in flight at once
+    DRAIN = "drain"  # an attempt was sent after the node was notified of the server's drain or removal
     SLOW_START = "failback"  # a server was overloaded during its slow start
-    DISCONNECTED = "gone"  # sent after the client had disconnected
+    DISCONNECTED = "gone"  # an attempt was sent after the client had disconnected
     DEADLINE = "deadline"  # the X-Budget sent to a server exceeds the remaining time
     PEER = "peer"  # an invalid request got neither an error nor a close
     CRASH = "crash"  # a process ended unexpectedly or with an error, or did not become ready
@@ -29,7 +29,7 @@
     request: str  # a request's id, or the name of the server, node or input concerned
     at_s: float
     detail: str
-    faults: tuple[str, ...]  # active at that time, as KIND@TARGET
+    faults: tuple[str, ...]  # the faults that were active at that time, as KIND@TARGET
 
 
 @dataclass(eq=False, slots=True)
@@ -41,7 +41,7 @@
     group: int
     first_byte_at_s: float
     last_byte_at_s: float
-    closed_at_s: float | None = None  # when it was answered or its connection ended
+    ended_at_s: float | None = None  # time of the answer or of the connection's end
     was_rejected: bool = False
     body: bytes | None = None  # body of the server's answer; None without a complete 200
 
@@ -55,7 +55,7 @@
     node: int
     sent_at_s: float
     budget_s: float
-    disconnected_at_s: float = math.inf  # when its client disconnected
+    disconnected_at_s: float = math.inf
     is_answered: bool = False
     attempts: list[AttemptRecord] = field(default_factory=list)
 
