--- a/tests/peers.py
+++ b/tests/peers.py
@@ -168,7 +168,12 @@
 
 @contextlib.asynccontextmanager
 async def node_environment(
-    path: Path, *servers: Server, start: bool = True, sockets: int = 1024, known: bool = True, **changes: Any
+    path: Path,
+    *servers: Server,
+    start: bool = True,
+    sockets: int = 1024,
+    has_cached_list: bool = True,
+    **changes: Any,
 ) -> AsyncIterator[NodeEnvironment]:
     """Run a discovery agent, these servers and a node with its configuration file.
 
@@ -177,7 +182,7 @@
         servers: The servers that the discovery agent lists.
         start: Whether to start a node in this process.
         sockets: The limit on file descriptors in the configuration.
-        known: Whether the cached endpoint list of the configuration contains the servers.
+        has_cached_list: Whether the cached endpoint list of the configuration contains the servers.
         changes: Changes to the settings, as for `settings`.
     """
     agent = ScriptedDiscoveryAgent()
@@ -191,7 +196,7 @@
         seed=SEED,
         limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets},
         settings=settings(**changes),
-        known=endpoint_list(1, agent.endpoints if known else [], complete=True),
+        known=endpoint_list(1, agent.endpoints if has_cached_list else [], complete=True),
     )
     file = path / "config.json"
     file.write_text(json.dumps(config))
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -180,7 +180,7 @@
 
     async def test() -> None:
         with server_with_full_backlog() as slow_server:
-            async with node_environment(tmp_path, known=False) as environment:
+            async with node_environment(tmp_path, has_cached_list=False) as environment:
                 address = f"127.0.0.1:{slow_server.getsockname()[1]}"
                 environment.agent.endpoints = [{"name": "slow", "address": address, "status": "active"}]
                 node = running_node(environment)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -65,7 +65,7 @@
         clock = WallClock(monkeypatch)
         up_since_ms = clock.true_ms() - int(UPTIME_S * 1000.0)
         servers = [Server(name=f"s{n}") for n in range(SERVER_COUNT)]
-        async with node_environment(tmp_path, *servers, known=False) as environment:
+        async with node_environment(tmp_path, *servers, has_cached_list=False) as environment:
             environment.agent.endpoints = [server.entry(since_ms=up_since_ms) for server in servers]
             await until(lambda: environment.agent.watches() == 1)
             assert set(capacity_fractions(environment).values()) == {1.0}
--- a/tests/test_close_delimited_responses.py
+++ b/tests/test_close_delimited_responses.py
@@ -56,7 +56,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(WAIT_TIMEOUT_S)
             entry = {"name": "s", "address": f"127.0.0.1:{listener.getsockname()[1]}", "status": "active"}
-            async with node_environment(tmp_path, known=False) as environment:
+            async with node_environment(tmp_path, has_cached_list=False) as environment:
                 environment.agent.endpoints = [entry]
                 client = await environment.client()
                 await until(lambda: environment.node is not None and environment.node.is_ready())
--- a/tests/test_connections_at_shutdown.py
+++ b/tests/test_connections_at_shutdown.py
@@ -36,7 +36,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_MS", 300.0)
-    monkeypatch.setattr(graceful_shutdown, "DRAIN_BEFORE_LAST_ANSWER_MS", 100.0)
+    monkeypatch.setattr(graceful_shutdown, "DRAIN_BEFORE_LAST_RESPONSE_MS", 100.0)
 
     async def test() -> None:
         server = Server()
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -35,7 +35,7 @@
 
     async def test() -> None:
         with StalledListener() as stalled:
-            async with node_environment(tmp_path, known=False) as environment:
+            async with node_environment(tmp_path, has_cached_list=False) as environment:
                 environment.agent.endpoints = [stalled.entry()]
                 node = environment.node
                 assert node is not None
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -62,7 +62,7 @@
 
     async def test() -> None:
         server = Server(name="moves")
-        async with node_environment(tmp_path, server, known=False) as environment:
+        async with node_environment(tmp_path, server, has_cached_list=False) as environment:
             environment.agent.endpoints = [server.entry(address=stalled_server.address)]
             await until(lambda: environment.node is not None and environment.node.is_ready())
             client = await environment.client()
@@ -86,7 +86,7 @@
 
     async def test() -> None:
         first = Server(default=render_response(500), name="first", group=1)
-        async with node_environment(tmp_path, first, known=False) as environment:
+        async with node_environment(tmp_path, first, has_cached_list=False) as environment:
             assert environment.node is not None
             environment.node._balancer.classes["save"].deduplication_window_ms = window_s * 1000.0
             environment.agent.endpoints = [first.entry()]
@@ -117,7 +117,7 @@
     """The timeout of the attempt must take effect before the request is written."""
 
     async def test() -> None:
-        async with node_environment(tmp_path, known=False) as environment:
+        async with node_environment(tmp_path, has_cached_list=False) as environment:
             environment.agent.endpoints = [stalled_server.entry()]
             await until(lambda: environment.node is not None and environment.node.is_ready())
             assert environment.node is not None
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -75,7 +75,7 @@
         await stays.start()
         with StalledListener() as stalled:
             entry = stays.entry() | stalled.entry()
-            async with node_environment(tmp_path, known=False) as environment:
+            async with node_environment(tmp_path, has_cached_list=False) as environment:
                 environment.agent.publish(entry, snapshot=True)
                 await until(lambda: environment.agent.watches() == 2)
                 response = asyncio.ensure_future(environment.send_request("a", "pay"))
--- a/tests/test_node_abandoned_requests.py
+++ b/tests/test_node_abandoned_requests.py
@@ -59,7 +59,7 @@
 def test_a_request_is_not_sent_if_its_client_disconnects_while_the_node_connects(tmp_path: Path) -> None:
     async def test() -> None:
         with StalledListener() as stalled:
-            async with node_environment(tmp_path, known=False) as environment:
+            async with node_environment(tmp_path, has_cached_list=False) as environment:
                 environment.agent.endpoints = [stalled.entry()]
                 node = environment.node
                 assert node is not None
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -123,7 +123,7 @@
 def test_a_node_is_ready_only_once_it_has_a_server(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with node_environment(tmp_path, server, known=False) as environment:
+        async with node_environment(tmp_path, server, has_cached_list=False) as environment:
             environment.agent.endpoints = []
             client = await environment.client()
             client.write(READY_CHECK)
--- a/tests/test_recorded_answers.py
+++ b/tests/test_recorded_answers.py
@@ -120,7 +120,7 @@
     permissions = {"retry_after": bool(retry_after), "max_retry_after_ms": 1250.0}
 
     async def test() -> None:
-        async with node_environment(tmp_path, known=False, permissions=permissions) as environment:
+        async with node_environment(tmp_path, has_cached_list=False, permissions=permissions) as environment:
             await until(lambda: environment.agent.watches() == 1)
             refused = REFUSED.replace(b"Content-Length", retry_after + b"Content-Length")
             not_ready = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 9\r\n\r\nnot ready"
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -40,7 +40,7 @@
     send = pending_send(AttemptHistory())
     assert guard.check(send) is None
     assert guard.check(replace(send, server_id=8)) is SendRefusal.NOT_IN_SERVICE
-    assert guard.check(replace(send, send_until_ms=now_ms() - 1.0)) is SendRefusal.RETRY_WINDOW_OVER
+    assert guard.check(replace(send, latest_send_at_ms=now_ms() - 1.0)) is SendRefusal.RETRY_WINDOW_OVER
     assert guard.check(replace(send, address=("127.0.0.1", 1))) is SendRefusal.ADDRESS_CHANGED
     assert not guard.broken_counts
 
--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -53,7 +53,7 @@
 ) -> AsyncIterator[NodeEnvironment]:
     """Yield an environment whose node is not started and has no cached servers; its agent is `agent`."""
     await agent.start()
-    async with node_environment(path, server, start=False, known=False) as environment:
+    async with node_environment(path, server, start=False, has_cached_list=False) as environment:
         environment.path.write_text(json.dumps(environment.config | {"discovery": agent.address}))
         yield environment
     await agent.stop()
--- a/workspond/attempt_runner.py
+++ b/workspond/attempt_runner.py
@@ -33,7 +33,7 @@
         address: The server's address.
         started_at_ms: When the attempt was started.
         timeout_at_ms: When the attempt times out.
-        send_until_ms: The latest time at which the request may be written.
+        latest_send_at_ms: The latest time at which the request may be written.
         is_written: Whether the request has been written to a connection.
     """
 
@@ -44,7 +44,7 @@
     address: Address
     started_at_ms: float
     timeout_at_ms: float
-    send_until_ms: float
+    latest_send_at_ms: float
     is_written: bool = False
 
     def may_send(self) -> bool:
@@ -93,8 +93,8 @@
         now = now_ms()
         request = self._requests.active.get(action.request_id)
         address = self._endpoints.addresses.get(action.server_id)
-        send_until_ms = now + action.send_within_ms
-        refusal = self._check_send(request, action.server_id, address, send_until_ms)
+        latest_send_at_ms = now + action.send_within_ms
+        refusal = self._check_send(request, action.server_id, address, latest_send_at_ms)
         if request is None or address is None or refusal is not None:
             self._report_not_sent(action, request)
             return
@@ -109,7 +109,7 @@
             address=address,
             started_at_ms=now,
             timeout_at_ms=now + timeout_ms,
-            send_until_ms=send_until_ms,
+            latest_send_at_ms=latest_send_at_ms,
         )
         self._start(outgoing, timeout_ms, new_connection=action.new_connection)
 
@@ -118,7 +118,7 @@
         attempt = self._pool.send(
             outgoing.server_id, outgoing.address, outgoing, timeout_ms, new_connection=new_connection
         )
-        if not attempt.is_over:
+        if not attempt.has_ended:
             self.in_flight[outgoing.request.key, outgoing.number] = attempt
 
     def _report_not_sent(self, action: SendAttempt, request: ActiveRequest | None) -> None:
@@ -137,7 +137,7 @@
     def may_send(self, outgoing: OutgoingAttempt) -> bool:
         """Return whether an attempt may still be written, now that its connection is open."""
         refusal = self._check_send(
-            outgoing.request, outgoing.server_id, outgoing.address, outgoing.send_until_ms
+            outgoing.request, outgoing.server_id, outgoing.address, outgoing.latest_send_at_ms
         )
         return refusal is None
 
@@ -167,7 +167,7 @@
         )
 
     def _check_send(
-        self, request: ActiveRequest | None, server_id: int, address: Address | None, send_until_ms: float
+        self, request: ActiveRequest | None, server_id: int, address: Address | None, latest_send_at_ms: float
     ) -> SendRefusal | None:
         """Return why an attempt must not be written now; None if it may be written.
 
@@ -181,7 +181,7 @@
         message = request.message
         refusal = self._guard.check(
             PendingSend(
-                message.request_id, message.class_name, request.history, server_id, address, send_until_ms
+                message.request_id, message.class_name, request.history, server_id, address, latest_send_at_ms
             )
         )
         if refusal is not None:
--- a/workspond/graceful_shutdown.py
+++ b/workspond/graceful_shutdown.py
@@ -22,7 +22,7 @@
 KILL_MARGIN_MS = 200.0  # time between the last response and SIGKILL
 # All connections begin to close this long before the latest deadline, so that the requests received until
 # then have enough time to be served.
-DRAIN_BEFORE_LAST_ANSWER_MS = 800.0
+DRAIN_BEFORE_LAST_RESPONSE_MS = 800.0
 
 log = logging.getLogger("workspond")
 
@@ -63,7 +63,7 @@
         considers the node dead and drops its open connections too. If this is the only node, that client has
         no other node to use.
         """
-        remaining_ms = last_response_at_ms - DRAIN_BEFORE_LAST_ANSWER_MS - now_ms()
+        remaining_ms = last_response_at_ms - DRAIN_BEFORE_LAST_RESPONSE_MS - now_ms()
         try:
             async with asyncio.timeout(remaining_ms / 1000.0):
                 await self._frontend.wait_until_empty()
--- a/workspond/upstream/attempt.py
+++ b/workspond/upstream/attempt.py
@@ -55,7 +55,7 @@
     Attributes:
         handler: Receives the outcome.
         connection: The connection in use; None before the attempt has begun and after it has ended.
-        is_over: Whether the outcome has been reported.
+        has_ended: Whether the outcome has been reported.
         is_written: Whether the complete request has been handed to the kernel.
         is_timeout_extended: Whether the timeout has expired once while response data was unread.
     """
@@ -64,7 +64,7 @@
         "_timeout_timer",
         "connection",
         "handler",
-        "is_over",
+        "has_ended",
         "is_timeout_extended",
         "is_written",
     )
@@ -72,7 +72,7 @@
     def __init__(self, handler: AttemptHandler) -> None:
         self.handler = handler
         self.connection: AttemptConnection | None = None
-        self.is_over = False
+        self.has_ended = False
         self.is_written = False
         self.is_timeout_extended = False
         self._timeout_timer: asyncio.TimerHandle | None = None
@@ -87,9 +87,9 @@
 
     def end(self, outcome: Outcome, response: ServerResponse | None = None) -> None:
         """Report the outcome; does nothing if one was reported before."""
-        if self.is_over:
+        if self.has_ended:
             return
-        self.is_over = True
+        self.has_ended = True
         self.connection = None
         if self._timeout_timer is not None:
             self._timeout_timer.cancel()
@@ -97,7 +97,7 @@
 
     def abort(self, outcome: Outcome) -> None:
         """End the attempt and close its connection, which is the only way to cancel it at the server."""
-        if self.is_over:
+        if self.has_ended:
             return
         if self.connection is not None:
             self.connection.close()
--- a/workspond/upstream/connection_pool.py
+++ b/workspond/upstream/connection_pool.py
@@ -183,7 +183,7 @@
             return Outcome.CONNECT_FAILED
         self._open.add(connection)
         # During connecting, the request may have ended or the server may have started to drain.
-        if attempt.is_over or not attempt.handler.may_send():
+        if attempt.has_ended or not attempt.handler.may_send():
             self.release(connection)
             return Outcome.NOT_SENT
         connection.send(attempt)
--- a/workspond/upstream/send_guard.py
+++ b/workspond/upstream/send_guard.py
@@ -77,7 +77,7 @@
         history: The earlier attempts of the request.
         server_id: The id of the selected server.
         address: The address to which the connection is opened.
-        send_until_ms: The latest time, by `now_ms`, to write the attempt; infinity if there is no limit.
+        latest_send_at_ms: The latest time, by `now_ms`, to write the attempt; infinity if there is no limit.
     """
 
     request_id: str
@@ -85,7 +85,7 @@
     history: AttemptHistory
     server_id: int
     address: Address | None
-    send_until_ms: float
+    latest_send_at_ms: float
 
 
 class SendGuard:
@@ -131,7 +131,7 @@
             return SendRefusal.NOT_IN_SERVICE
         if self._addresses.get(send.server_id) != send.address:
             return SendRefusal.ADDRESS_CHANGED
-        if now_ms() > send.send_until_ms:
+        if now_ms() > send.latest_send_at_ms:
             return SendRefusal.RETRY_WINDOW_OVER
         return None
 
