--- a/workspond/__main__.py
+++ b/workspond/__main__.py
@@ -1,6 +1,6 @@
 """Runs a node with the configuration file that NODE_CONFIG names.
 
-SIGHUP reloads that file. SIGTERM shuts the node down after all its requests have been answered.
+SIGHUP reloads that file. SIGTERM starts a graceful shutdown, which answers all requests in flight.
 """
 
 from __future__ import annotations
--- a/workspond/active_request.py
+++ b/workspond/active_request.py
@@ -15,7 +15,14 @@
     """The registry of active requests, as a request uses it."""
 
     def abandon(self, request: ActiveRequest, reason: str) -> None:
-        """End a request without a response, because its client no longer waits for one."""
+        """End a request without sending a response to its receiver.
+
+        Either the client has disconnected, or its connection answers the request itself.
+
+        Args:
+            request: The request.
+            reason: A value of `AbandonReason`.
+        """
 
 
 class ActiveRequest:
@@ -30,7 +37,7 @@
         deadline_timer: The timer that fails the request at its deadline.
         attempts_started: How many attempts have been started.
         attempts_ended: How many of these have ended.
-        history: Which attempts have been written to servers, and whether one may have run.
+        history: Which attempts have been written to servers, and whether a server may have run one of them.
         attempt_records: How the attempts ended, for the log.
     """
 
@@ -69,5 +76,9 @@
         self.attempt_records: list[EndedAttempt | BlockedAttempt] = []
 
     def abandon(self, reason: str) -> None:
-        """End the request without a response, because its client no longer waits for one."""
+        """End the request without sending a response to its receiver.
+
+        Args:
+            reason: A value of `AbandonReason`.
+        """
         self._owner.abandon(self, reason)
--- a/workspond/address.py
+++ b/workspond/address.py
@@ -8,8 +8,8 @@
 
 Address = tuple[str, int]
 
-# Matches only hosts that the resolver accepts. For other texts it raises exceptions other than OSError, the
-# one that callers handle for hosts that can't be reached.
+# Matches only hosts that the resolver accepts. For other texts the resolver raises exceptions that are not
+# OSError, and callers handle only OSError.
 HOST_PATTERN = re.compile(r"\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9_-]{1,63}(\.[A-Za-z0-9_-]{1,63})*\.?")
 PORT_PATTERN = re.compile("[0-9]{1,5}")
 MAX_PORT = 65535
@@ -28,6 +28,6 @@
 
 
 def format_address(address: Address) -> str:
-    """Format an address as host:port, for log lines."""
+    """Format an address as host:port for messages; an IPv6 address gets no brackets."""
     host, port = address
     return f"{host}:{port}"
--- a/workspond/attempt_runner.py
+++ b/workspond/attempt_runner.py
@@ -26,7 +26,7 @@
     """One attempt of a request, as the connection pool's `AttemptHandler`.
 
     Attributes:
-        runner: Is notified when the attempt ends.
+        runner: The runner that started the attempt; it is notified when the attempt ends.
         request: The request.
         number: The attempt's number within its request, from 0.
         server_id: The server that the attempt is sent to.
@@ -171,7 +171,9 @@
     ) -> SendRefusal | None:
         """Return why an attempt must not be written now; None if it may be written.
 
-        This is checked when the policy decides on the attempt and again when its connection is open.
+        This is checked when the policy decides on the attempt and again when its connection is open. A
+        request whose client has disconnected is abandoned. A refusal by the send guard is counted and
+        recorded.
         """
         if request is None or request.key not in self._requests.active:
             return SendRefusal.REQUEST_ENDED
--- a/workspond/discovery/agent_client.py
+++ b/workspond/discovery/agent_client.py
@@ -16,7 +16,7 @@
 """A call fails if its response has begun and nothing more of it arrives for this time."""
 
 MAX_CALL_S = 15.0
-"""The maximum duration of a call, even if its response keeps arriving.
+"""The maximum duration of a call whose response has begun, even if more of it keeps arriving.
 
 Two such calls fit into the time that a starting node has to become ready.
 """
@@ -96,7 +96,7 @@
                 self._client.response_progressed(self)
 
     def eof_received(self) -> None:
-        """Handle an orderly close by the agent: unlike a reset, it completes a response without a length."""
+        """Handle an orderly close by the agent. Unlike a reset, it completes a response without a length."""
         if self._parser.feed_eof():
             self._report_response()
 
@@ -218,7 +218,10 @@
         self._progress_timer = self._loop.call_later(delay_s, self._check_progress)
 
     def _check_progress(self) -> None:
-        """Fail the call if its response has stalled; report the call as overdue if no response has begun."""
+        """Report the call as overdue if no response has begun; else fail it if it takes too long.
+
+        It takes too long if its response has stalled for `STALL_TIMEOUT_S`, or after `MAX_CALL_S` in all.
+        """
         if self._last_received_at_s is None:
             self._check_progress_in(STALL_TIMEOUT_S)
             if not self.is_overdue:
--- a/workspond/discovery/endpoint_list.py
+++ b/workspond/discovery/endpoint_list.py
@@ -36,9 +36,11 @@
         endpoints: The entries, except those of the servers in `unchanged_ids`.
         addresses: The address of each entry, by server id.
         start_times_ms: When the process of each server last started, by server id, in Unix time in ms; 0 if
-            it has run for long. `IncarnationTracker` converts it to `started_at_ms` of the entries.
-        previous_response_at_ms: When the previous response was received, on the node's clock.
-        unchanged_ids: The servers of a complete list whose entries are the same as in the previous list.
+            it has run for a long time. `IncarnationTracker` converts it to `started_at_ms` of the entries.
+        previous_response_at_ms: When the previous response was received, on the node's clock; minus infinity
+            if there was none.
+        unchanged_ids: The ids of the servers in a complete list whose entries are the same as in the previous
+            list.
     """
 
     index: int
--- a/workspond/discovery/endpoint_list_reader.py
+++ b/workspond/discovery/endpoint_list_reader.py
@@ -40,7 +40,8 @@
     """Split the text of a list into its entries without parsing them.
 
     Returns:
-        The parts; None if the text is not a list in the usual form.
+        The parts; None if the text is not a list in the usual form: at least one entry, and no braces inside
+        an entry.
     """
     start = ENDPOINTS_PATTERN.search(text)
     if start is None:
@@ -60,7 +61,7 @@
 
 
 def _parse_envelope(text: str) -> Json | None:
-    """Parse a list whose entries have been cut out; return None if the entries were not its own."""
+    """Parse a list whose entries have been cut out; return None if they were not those of the list itself."""
     try:
         envelope = json.loads(text)
     except (ValueError, RecursionError):
@@ -75,7 +76,8 @@
     """Reads all lists that a node receives, in order."""
 
     def __init__(self) -> None:
-        # The text of the current entries, as far as it is known. The two maps are inverse to each other.
+        # The texts of the current entries, without those changed by an update or read from a list that was
+        # parsed in full. Each map is the inverse of the other.
         self._text_by_id: dict[int, str] = {}
         self._id_by_text: dict[str, int] = {}
 
--- a/workspond/discovery/superseded_calls.py
+++ b/workspond/discovery/superseded_calls.py
@@ -19,9 +19,9 @@
         self._clients: list[AgentClient] = []  # oldest first
 
     def add(self, client: AgentClient) -> None:
-        """Keep a client whose call may still be answered."""
+        """Keep a client for up to `MAX_SUPERSEDED_S`, because its call may still be answered."""
         if len(self._clients) >= MAX_SUPERSEDED_CALLS:
-            # The newest one is closed, because the oldest one is the most likely to be answered next.
+            # The newest client is closed, because the oldest one is the most likely to be answered next.
             self._clients.pop().close()
         self._clients.append(client)
         self._loop.call_later(MAX_SUPERSEDED_S, self.close, client)
--- a/workspond/discovery/watcher.py
+++ b/workspond/discovery/watcher.py
@@ -31,7 +31,7 @@
 # detected only after this time: with 20 s, all nodes kept using the list from their start during a whole
 # release. Renewing a watch does not count as a new call, so short watches cost discovery almost nothing.
 WATCH_MS = 800
-# How long after the end of a watch its response may begin.
+# How long after the end of a watch its response may still begin.
 WATCH_GRACE_MS = 500
 # How long the response to a poll may take to begin. The agent answers polls at once. The node must have the
 # list of a new agent within 4 s after SIGHUP, so a poll that is not answered must leave time for another one.
@@ -139,7 +139,10 @@
             self._listener.endpoints_received(endpoints)
 
     def call_failed(self, client: AgentClient, reason: str) -> None:
-        """Handle a failed call; after the current one, the listener decides when to make the next."""
+        """Handle a failed call.
+
+        If it is the current one, the listener decides when to make the next; a superseded one is closed.
+        """
         if client is self._client:
             self._listener.discovery_call_failed(reason)
         else:
@@ -212,7 +215,7 @@
     def _restart_from_complete_list(self) -> None:
         """Poll after the current call, and close the superseded watches.
 
-        A complete list of another agent has just replaced the list whose changes they would report.
+        A complete list of another agent has just replaced the list whose changes these watches would report.
         """
         self._client.needs_complete_list = True
         self._superseded.close_watches()
@@ -224,5 +227,5 @@
 
 
 def _lacks_base_list(client: AgentClient, endpoints: EndpointList) -> bool:
-    """Return whether a response contains changes to a list that the client does not have, or has newer."""
+    """Return whether a response has changes to a list that the client lacks or has in a later version."""
     return not endpoints.complete and (client.needs_complete_list or endpoints.index < client.last_index)
--- a/workspond/endpoint_table.py
+++ b/workspond/endpoint_table.py
@@ -18,7 +18,7 @@
 
     Attributes:
         update: The event for the policy.
-        removed_ids: The servers that are no longer listed.
+        removed_ids: The ids of the servers that are no longer listed.
     """
 
     update: EndpointUpdate
@@ -29,8 +29,8 @@
     """Holds the listed endpoints by server id.
 
     Attributes:
-        addresses: The addresses of all servers that are listed.
-        in_service: The servers that new attempts may be sent to.
+        addresses: The addresses of all listed servers, by server id.
+        in_service: The ids of the servers that new attempts may be sent to.
     """
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         return TableChange(_policy_update(endpoints, kind, missing_ids), removed_ids)
 
     def _missing_from(self, endpoints: EndpointList) -> list[int]:
-        """Return the servers that a complete list no longer names."""
+        """Return the ids of the servers in the table that a complete list does not contain."""
         return list(self.addresses.keys() - endpoints.addresses.keys() - endpoints.unchanged_ids)
 
     def _set(self, endpoint: Endpoint, address: Address) -> None:
--- a/workspond/graceful_shutdown.py
+++ b/workspond/graceful_shutdown.py
@@ -16,12 +16,12 @@
 from workspond.policy.settings import RequestClass
 from workspond.request_registry import RequestRegistry
 
-MIN_SERVING_S = 0.45  # new connections keep arriving for 0.4 s after SIGTERM
+MIN_SERVING_S = 0.45  # a little longer than new connections keep arriving
 MAX_DEADLINE_MS = 3_000.0
 KILL_DELAY_MS = 700.0
 KILL_MARGIN_MS = 200.0  # time between the last response and SIGKILL
-# All connections begin to close this long before the latest deadline, so that the requests received until
-# then have enough time to be served.
+# All connections begin to close this long before the last response is due, so that the requests received
+# until then have enough time to be served.
 DRAIN_BEFORE_LAST_RESPONSE_MS = 800.0
 
 log = logging.getLogger("workspond")
@@ -39,7 +39,7 @@
         self._last_response_after_ms = KILL_DELAY_MS - KILL_MARGIN_MS + max_deadline_ms
 
     async def run(self, min_serving_s: float) -> None:
-        """Shut down, and return when no client is connected.
+        """Shut down, and return when all client connections are closed.
 
         Clients keep using their open connections and may have no other node to switch to. So they are served
         until the remaining time just suffices to answer them before the platform kills the node.
@@ -49,7 +49,7 @@
         """
         started_at_ms = now_ms()
         last_response_at_ms = started_at_ms + self._last_response_after_ms
-        self._requests.limit_deadlines(last_response_at_ms)  # SIGKILL comes before any later deadline
+        self._requests.limit_deadlines(last_response_at_ms)  # a later response could come after SIGKILL
         self._frontend.fail_ready_checks()
         await asyncio.sleep(min_serving_s)
         await self._serve_until_empty(started_at_ms, last_response_at_ms)
@@ -71,7 +71,10 @@
             log.info("closing connections: after_ms=%.0f", now_ms() - started_at_ms)
 
     async def _drain(self, last_response_at_ms: float) -> None:
-        """Answer the requests in flight and close all connections."""
+        """Answer the requests in flight and close all connections.
+
+        Connections that are still open `KILL_MARGIN_MS / 2` before SIGKILL are aborted.
+        """
         remaining_ms = last_response_at_ms + KILL_MARGIN_MS / 2.0 - now_ms()
         try:
             async with asyncio.timeout(remaining_ms / 1000.0):
--- a/workspond/node.py
+++ b/workspond/node.py
@@ -42,7 +42,7 @@
 from workspond.upstream.connection_pool import ConnectionPool
 from workspond.upstream.send_guard import SendGuard
 
-# Delay between a failed discovery call and the next one, where the policy does not decide when to subscribe.
+# Delay between a failed discovery call and the next one, if the policy does not decide when to subscribe.
 # The time limit for receiving updates starts as soon as the agent is reachable again, so the delay is short.
 RESUBSCRIBE_DELAY_S = 0.1
 
@@ -101,7 +101,8 @@
     def reconfigure(self, config: Config) -> None:
         """Apply the discovery address of a new configuration without disturbing any request.
 
-        All other settings need a restart. If one of them has changed, a warning is logged.
+        All other settings need a restart. If one of them has changed, a warning is logged. Changes of the
+        seed and the cached list, which matter only at the start, are not reported.
         """
         expected = dataclasses.replace(
             config,
@@ -132,7 +133,7 @@
         return bool(self._endpoints.in_service)
 
     def accept(self, request: ClientRequest, receiver: ResponseReceiver) -> ActiveRequest:
-        """Accept a request, which will get exactly one response.
+        """Accept a request, which gets exactly one response unless it is abandoned.
 
         Raises:
             InvalidRequestError: If a request with the same id is active.
--- a/workspond/policy_runner.py
+++ b/workspond/policy_runner.py
@@ -1,6 +1,6 @@
 """Passes events to the load-balancing policy and executes the actions that it returns.
 
-Only this module calls `Balancer.handle`, and only for one event at a time.
+In a node, only this module calls `Balancer.handle`, and only for one event at a time.
 """
 
 from __future__ import annotations
--- a/workspond/request_registry.py
+++ b/workspond/request_registry.py
@@ -1,6 +1,6 @@
 """Registry of the active requests.
 
-Each request gets exactly one response, at the latest when its deadline timer fires.
+Each request gets exactly one response, at the latest when its deadline timer fires, unless it is abandoned.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class RequestRegistry:
-    """Holds each active request from its acceptance to its response.
+    """Holds each active request from its acceptance to its end.
 
     The policy identifies a request by a serial number that the node assigns, and not by the client's id. An
     attempt may outlast its request, so a client that reuses an id would mix up the state of two requests.
 
     Attributes:
         active: The active requests by key.
-        open_request_ids: The ids of the active requests that clients sent as X-Call-Id.
+        open_request_ids: The ids that clients gave the active requests, in X-Call-Id.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._latest_deadline_at_ms = math.inf
 
     def accept(self, message: ClientRequest, receiver: ResponseReceiver) -> ActiveRequest:
-        """Accept a request, which will get exactly one response.
+        """Accept a request, which gets exactly one response unless it is abandoned.
 
         Raises:
             InvalidRequestError: If a request with the same id is active.
@@ -92,7 +92,7 @@
         request.receiver.send_response(response)
 
     def abandon(self, request: ActiveRequest, reason: str = AbandonReason.CLIENT_DISCONNECTED) -> None:
-        """End a request without a response, because its client no longer waits for one."""
+        """End a request without sending a response to its receiver; see `ActiveRequest.abandon`."""
         if not self._remove(request):
             return
         self._counters.increment(CountedEvent.REQUEST_ABANDONED, reason)
@@ -108,7 +108,7 @@
                 self._set_deadline_timer(request)
 
     def _remove(self, request: ActiveRequest) -> bool:
-        """Remove a request and return whether it was active; if it was, the caller has to end it."""
+        """Remove a request and return whether it was active; if so, the caller must answer or abandon it."""
         if self.active.pop(request.key, None) is None:
             return False
         self.open_request_ids.discard(request.message.request_id)
--- a/workspond/settings_reader.py
+++ b/workspond/settings_reader.py
@@ -64,7 +64,7 @@
 
     Raises:
         MalformedInputError: A key is missing or has a value of the wrong type.
-        InvalidSettingError: A value is impossible. The error names the key on the wire.
+        InvalidSettingError: A value is not allowed. The error names the key on the wire.
     """
     try:
         return _read_settings(env)
@@ -125,7 +125,10 @@
 
 
 def _read_worst_class_weight(env: Json) -> float:
-    """Convert the worst class's fraction of the score to its weight relative to that of all requests."""
+    """Convert the worst class's fraction of the score to a weight relative to that of all requests.
+
+    The weight is 0 for a fraction below 0 or not below 1.
+    """
     score_parts = optional_field(env, "score_parts", dict, {})
     fraction: float = optional_field(score_parts, "worst_class", NUMBER, 0.0)
     return fraction / (1.0 - fraction) if 0.0 <= fraction < 1.0 else 0.0
--- a/workspond/simulator_adapter.py
+++ b/workspond/simulator_adapter.py
@@ -71,7 +71,7 @@
     307: Outcome.NOT_SENT,
 }
 NO_TENANT = 0  # `owner` of a request if the deployment has no tenants
-# Messages from other nodes and results of health checks: the policy uses neither.
+# The policy uses neither messages from other nodes nor results of health checks.
 IGNORED_EVENT_KINDS = {"NeighbourSays", "StatusBack"}
 
 
@@ -152,8 +152,8 @@
 
     Attributes:
         kind: The name of the action on the wire.
-        fields: The keys on the wire, each with the attribute of the action that is its value.
-        constants: The keys whose value is always the same.
+        fields: The keys on the wire, each with the name of the action's attribute that holds its value.
+        constants: The keys whose values are always the same, with these values.
     """
 
     kind: str
@@ -182,11 +182,11 @@
 
 
 class SimulatedNodes:
-    """The simulated nodes of one process. They are independent and share only the pages of endpoints."""
+    """The simulated nodes of one process. They share only the pages of endpoints."""
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}  # by node name
-        self._pages: dict[int, list[Endpoint]] = {}  # endpoint lists by number; updates refer to them
+        self._pages: dict[int, list[Endpoint]] = {}  # by page number; endpoint updates refer to it
 
     def handle_batch(self, message: Json) -> Json:
         """Handle one batch of events and return the reply.
@@ -233,7 +233,7 @@
         try:
             settings = read_settings(required_field(item, "env", dict))
         except ValueError as error:
-            raise MalformedInputError(f"'env' has impossible settings: {error}") from None
+            raise MalformedInputError(f"'env' has invalid settings: {error}") from None
         return Balancer(settings, required_field(item, "salt", int))
 
     def _read_event(self, kind: str, item: Json, balancer: Balancer) -> PolicyEvent:
@@ -250,10 +250,12 @@
         kind = choice_field(item, "form", UPDATE_KINDS)
         if kind is UpdateKind.FAILED:
             return EndpointUpdate(kind)
-        page = required_field(item, "bank", int)
-        if page not in self._pages:
-            raise MalformedInputError(f"'bank' must be the number of a page that was sent before, not {page}")
-        return EndpointUpdate(kind, required_field(item, "stamp", int), self._pages[page])
+        page_number = required_field(item, "bank", int)
+        if page_number not in self._pages:
+            raise MalformedInputError(
+                f"'bank' must be the number of a page that was sent before, not {page_number}"
+            )
+        return EndpointUpdate(kind, required_field(item, "stamp", int), self._pages[page_number])
 
 
 def _read_batch(source: TextIO) -> Json | None:
