--- a/tests/peers.py
+++ b/tests/peers.py
@@ -109,7 +109,18 @@
 
 @dataclass
 class NodeEnvironment:
-    """A node with its servers, its discovery agent and its clients."""
+    """A node with its servers, its discovery agent and its clients.
+
+    Attributes:
+        config: The node's configuration as first written to its file.
+        path: The configuration file.
+        agent: The discovery agent.
+        servers: The servers that are stopped with the environment.
+        node: The node that runs in this process, if one has been started.
+        address: The address at which the node, in this or another process, accepts clients.
+        clients: The clients that are closed with the environment.
+        processes: The processes that are killed with the environment if they are still running.
+    """
 
     config: dict[str, Any]
     path: Path
@@ -138,7 +149,7 @@
         return await (await self.client()).send_request(*args, **kwargs)
 
     async def close(self) -> None:
-        """Close all clients and stop all processes, servers and nodes that are still running."""
+        """Close all clients and stop the processes, the servers, the agent and the node."""
         for client in self.clients:
             client.writer.close()
         # A process left over from a failed test could call ports that later tests use.
@@ -153,10 +164,14 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """Return the settings of a node; a dictionary among the changes is merged into the part of that name."""
+    """Return the settings of a node with some changes.
+
+    Args:
+        changes: The new value of each changed key; a dictionary is merged into the object at that key.
+    """
     env: dict[str, Any] = json.loads(json.dumps(SETTINGS))
     env["permissions"]["connect_timeout_ms"] = 5000.0
-    env["rules"]["ask_every_ms"] = 200.0  # the next discovery call follows a failed one soon
+    env["rules"]["ask_every_ms"] = 200.0  # so that failed discovery calls are repeated soon
     env["tenants"] = []
     for cls in env["classes"]:
         cls |= {"objective_ms": 500.0, "give_up_ms": 20_000.0, "dedup_scope": "cell"}
@@ -168,7 +183,7 @@
 
 @contextlib.asynccontextmanager
 async def node_environment(
-    path: Path,
+    folder: Path,
     *servers: Server,
     start: bool = True,
     sockets: int = 1024,
@@ -178,7 +193,7 @@
     """Run a discovery agent, these servers and a node with its configuration file.
 
     Args:
-        path: The folder of the configuration file.
+        folder: The folder of the configuration file.
         servers: The servers that the discovery agent lists.
         start: Whether to start a node in this process.
         sockets: The limit on file descriptors in the configuration.
@@ -198,9 +213,9 @@
         settings=settings(**changes),
         known=endpoint_list(1, agent.endpoints if has_cached_list else [], complete=True),
     )
-    file = path / "config.json"
-    file.write_text(json.dumps(config))
-    environment = NodeEnvironment(config, file, agent, list(servers))
+    path = folder / "config.json"
+    path.write_text(json.dumps(config))
+    environment = NodeEnvironment(config, path, agent, list(servers))
     if start:
         await environment.start_node()
     try:
--- a/tests/test_agent_client.py
+++ b/tests/test_agent_client.py
@@ -43,7 +43,7 @@
 
 @asynccontextmanager
 async def running_agent(agent: Server) -> AsyncIterator[tuple[AgentClient, RecordingOwner]]:
-    """Start an agent, and return a client of it and the client's owner."""
+    """Run an agent, and yield a client that calls it and the owner of that client."""
     await agent.start()
     host, port = agent.address.split(":")
     owner = RecordingOwner()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -79,16 +79,17 @@
             restarted_fraction = fractions.pop(servers[-1].name)
             assert set(fractions.values()) == {1.0}
             assert environment.node is not None
-            start = environment.node._config.settings.start_capacity
-            assert start <= restarted_fraction < start + 0.1
+            start_capacity = environment.node._config.settings.start_capacity
+            assert start_capacity <= restarted_fraction < start_capacity + 0.1
 
     for step_s in (-HOUR_S, HOUR_S):
         run(test(step_s))
 
 
-# When the list that reports a start is received. The node's clock counts from the machine's start.
+# When the list that reports a start is received, and when the list before it was. The first is the current
+# time, because the node's clock counts from the machine's start.
 RECEIVED_AT_MS = now_ms()
-PREVIOUS_AT_MS = RECEIVED_AT_MS - 1000.0  # when the previous list was received
+PREVIOUS_AT_MS = RECEIVED_AT_MS - 1000.0
 
 
 def entry(name: str, since_ms: float) -> dict[str, object]:
@@ -129,7 +130,7 @@
 def test_the_assigned_start_changes_only_if_discovery_reports_another_one() -> None:
     tracker = IncarnationTracker()
     assert assigned_start_ms(tracker, list_of_one(0)) is None
-    # The start was long ago, by a server clock that has been set since.
+    # The reported start was long ago, because the server's clock was far behind until it was set.
     assert assigned_start_ms(tracker, list_of_one(1000.0, -math.inf)) is not None
     first_ms = assigned_start_ms(tracker, list_of_one(1000.0))
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 1000.0) == first_ms
--- a/tests/test_endpoint_list_reader.py
+++ b/tests/test_endpoint_list_reader.py
@@ -1,4 +1,7 @@
-"""Tests that parsing only the changed entries of lists gives the same endpoints as parsing lists in full."""
+"""Tests that reading lists by difference gives the same endpoints as reading them in full.
+
+Reading by difference means parsing only the entries that have changed.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 
 
 class CurrentEndpoints:
-    """The endpoints after each list that is read has been applied."""
+    """The endpoints that result from applying one list after the other."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, Endpoint] = {}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -32,7 +32,7 @@
             for received in server.received:
                 groups.setdefault(received.request_id, []).append(server.group)
         assert all(len(set(attempted)) == 1 for attempted in groups.values())
-        assert max(map(len, groups.values())) > 1  # some were retried
+        assert max(map(len, groups.values())) > 1  # some requests were retried
 
     run(test())
 
@@ -49,8 +49,8 @@
 
 def test_draining_and_removed_servers_receive_no_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        draining, removed, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
-        async with node_environment(tmp_path, draining, removed, stays) as environment:
+        draining, removed, healthy = (Server(name=name) for name in ("leaving", "left", "stays"))
+        async with node_environment(tmp_path, draining, removed, healthy) as environment:
             for n in range(6):
                 await environment.send_request(f"before-{n}")
             assert draining.received and removed.received
@@ -71,10 +71,10 @@
     """The server is in service when it is selected, and draining when the connection is open."""
 
     async def test() -> None:
-        stays = Server(name="stays")
-        await stays.start()
+        healthy = Server(name="stays")
+        await healthy.start()
         with StalledListener() as stalled:
-            entry = stays.entry() | stalled.entry()
+            entry = healthy.entry() | stalled.entry()
             async with node_environment(tmp_path, has_cached_list=False) as environment:
                 environment.agent.publish(entry, snapshot=True)
                 await until(lambda: environment.agent.watches() == 2)
@@ -82,13 +82,13 @@
                 node = environment.node
                 assert node is not None
                 await until(lambda: node._upstream.connection_count() == 1)
-                environment.agent.publish(entry | {"status": "leaving"}, stays.entry())
+                environment.agent.publish(entry | {"status": "leaving"}, healthy.entry())
                 await until(lambda: environment.agent.watches() == 3)
                 with await stalled.accept() as connection:
                     assert (await response).body == b"done"
-                    assert [message.request_id for message in stays.received] == ["a"]
+                    assert [message.request_id for message in healthy.received] == ["a"]
                     assert has_received_nothing(connection)
-        await stays.stop()
+        await healthy.stop()
 
     run(test())
 
@@ -204,9 +204,7 @@
         server = Server()
         permissions = {"retry_after": allowed, "max_retry_after_ms": 500.0}
         async with node_environment(tmp_path, server, permissions=permissions) as environment:
-            response = await environment.send_request(
-                "a", "pay", budget="0.001"
-            )  # no time left for an attempt
+            response = await environment.send_request("a", "pay", budget="0.001")
             assert response.status == 503 and not server.received
             header = response.headers.get("retry-after")
             assert retry_after_s == (None if header is None else float(header))
@@ -219,13 +217,13 @@
         server = Server()
         async with node_environment(tmp_path, server, sockets=29) as environment:
             first = await environment.client()
-            # 18 responses: from the 20th on, the timeout of attempts would be 8 times the usual response
-            # time, which is nearly 0 here.
+            # The loop gets 18 responses. From the 20th response on, the timeout of attempts would be 8 times
+            # the usual response time, which is nearly 0 here.
             for n in range(9):
                 # This client sends no request: connections without a request are closed before others.
                 await environment.client()
                 assert (await environment.send_request(f"{n}")).status == 200
-                # Of the others, the one that has been idle longest is closed, not the one opened first.
+                # Among the others, the connection idle for longest is closed, not the one opened first.
                 assert (await first.send_request(f"first-{n}")).status == 200
                 assert environment.node is not None
                 assert environment.node.frontend.connection_count() <= 15  # of 29
--- a/tests/test_node_client_input.py
+++ b/tests/test_node_client_input.py
@@ -115,7 +115,7 @@
     run(test())
 
 
-def test_a_request_received_byte_by_byte_is_served_and_connection_close_is_followed(tmp_path: Path) -> None:
+def test_a_request_received_byte_by_byte_is_served_and_connection_close_is_honoured(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_environment(tmp_path, server) as environment:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -56,9 +56,8 @@
         server = Server(response)
         async with node_environment(tmp_path, server) as environment:
             assert (await environment.send_request("a", "pay")).status == 502
-            assert (
-                await environment.send_request("b", "pay")
-            ).body == b"done"  # no data of the first response reaches the next one
+            # No data of the first response reaches the next request.
+            assert (await environment.send_request("b", "pay")).body == b"done"
             assert [message.request_id for message in server.received] == ["a", "b"]
 
     run(test())
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -17,7 +17,7 @@
 
 PROCESS_COUNT = 20  # a tenth of a deployment of 200 nodes
 READY_WITHIN_S = 10.0
-READY_FRACTION = 0.9  # the part of the processes that must be ready by then
+READY_FRACTION = 0.9  # the fraction of the processes that must be ready within READY_WITHIN_S
 READY_CHECK_INTERVAL_S = 0.02
 
 
@@ -60,7 +60,9 @@
 
 
 @pytest.mark.parametrize("discovery", ["up", "down", "does not answer", "connections hang"])
-def test_nine_in_ten_processes_that_start_at_once_are_ready_in_time(discovery: str, tmp_path: Path) -> None:
+def test_nine_in_ten_processes_that_start_at_once_are_ready_within_10_s(
+    discovery: str, tmp_path: Path
+) -> None:
     """The processes share this machine's cores, as the processes of a deployment share theirs."""
 
     async def test() -> None:
@@ -72,7 +74,7 @@
                 starts = [time_to_ready_s(environment.path) for _ in range(PROCESS_COUNT)]
                 times_s = sorted(await asyncio.gather(*starts))
             median_s = times_s[PROCESS_COUNT // 2]
-            print(f"discovery {discovery}: half ready after {median_s:.2f} s, all {times_s[-1]:.2f}")
+            print(f"discovery {discovery}: half ready after {median_s:.2f} s, all after {times_s[-1]:.2f} s")
             assert times_s[int(READY_FRACTION * PROCESS_COUNT) - 1] <= READY_WITHIN_S
 
     run(test())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -134,7 +134,8 @@
         await agent.start()
         async with node_environment(tmp_path, server) as environment:
             assert environment.node is not None
-            node, (host, _, port) = environment.node, agent.address.rpartition(":")
+            node = environment.node
+            host, _, port = agent.address.rpartition(":")
             agent.endpoints = [server.entry(), new.entry()]
             await until(lambda: len(node._endpoints.in_service) == 1)
             started_at_s = time.monotonic()
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -13,16 +13,16 @@
 from tests.peers import WAIT_TIMEOUT_S, Server, node_environment, run
 from tests.program import Program, spawn
 
-STARTS = 5
+START_COUNT = 5
 SIGNAL_INTERVAL_S = 0.0005
 
 
-async def signal_until_it_ends(process: asyncio.subprocess.Process, number: signal.Signals) -> int:
+async def signal_until_it_ends(process: asyncio.subprocess.Process, sent_signal: signal.Signals) -> int:
     """Send a signal repeatedly until the process has ended, and return its exit status."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                process.send_signal(number)
+                process.send_signal(sent_signal)
             await asyncio.sleep(SIGNAL_INTERVAL_S)
     return process.returncode
 
@@ -32,7 +32,7 @@
 
     async def test() -> None:
         async with node_environment(tmp_path, Server(), start=False) as environment:
-            for _ in range(STARTS):
+            for _ in range(START_COUNT):
                 program = await Program.start(environment)
                 program.process.send_signal(signal.SIGTERM)
                 assert await signal_until_it_ends(program.process, signal.SIGHUP) == 0
@@ -40,8 +40,10 @@
     run(test())
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_during_the_start_is_handled_after_the_start(number: signal.Signals, tmp_path: Path) -> None:
+@pytest.mark.parametrize("sent_signal", [signal.SIGHUP, signal.SIGTERM])
+def test_a_signal_during_the_start_is_handled_after_the_start(
+    sent_signal: signal.Signals, tmp_path: Path
+) -> None:
     """Such a signal once ended the process, because its handler was not installed yet."""
 
     async def test() -> None:
@@ -55,24 +57,24 @@
                 complete_file = tmp_path / "complete.json"
                 complete_file.write_text(text)
                 complete_file.replace(environment.path)  # for the reload
-                process.send_signal(number)
+                process.send_signal(sent_signal)
                 file.write(text)
-            _, errors = await read_until(process, b"configuration reloaded")
-            if number is signal.SIGHUP:
-                assert b"configuration reloaded" in errors
+            log = await read_log_until(process, b"configuration reloaded")
+            if sent_signal is signal.SIGHUP:
+                assert b"configuration reloaded" in log
                 process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
 
     run(test())
 
 
-async def read_until(process: asyncio.subprocess.Process, words: bytes) -> tuple[bool, bytes]:
-    """Read the log up to a line with these words, or to its end; return whether there is one, and the log."""
+async def read_log_until(process: asyncio.subprocess.Process, words: bytes) -> bytes:
+    """Return the log up to and including a line with these words; all of it if there is no such line."""
     assert process.stderr is not None
-    text = b""
+    log = b""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while line := await process.stderr.readline():
-            text += line
+            log += line
             if words in line:
-                return True, text
-    return False, text
+                return log
+    return log
--- a/tests/test_slow_endpoint_lists.py
+++ b/tests/test_slow_endpoint_lists.py
@@ -23,7 +23,8 @@
 )
 from workspond.discovery import agent_client
 
-PIECE_COUNT = 15  # takes longer than the timeout of a poll, at this interval
+# 15 pieces at intervals of 0.1 s take longer than the timeout of a poll.
+PIECE_COUNT = 15
 PIECE_INTERVAL_S = 0.1
 CHUNK_BYTES = 100
 RESPONSE_DELAY_S = 1.7  # longer than the timeout of any call
@@ -114,7 +115,7 @@
             host, _, port = agent.address.rpartition(":")
             environment.node._discovery.change_address((host, int(port)))
             await until(lambda: agent.accepted_connections == 2)
-            assert (await environment.send_request("a")).status == 200  # by the previous list
+            assert (await environment.send_request("a")).status == 200  # the previous list is in use
         await agent.stop()
 
     run(test())
--- a/tests/test_update_latency.py
+++ b/tests/test_update_latency.py
@@ -1,4 +1,4 @@
-"""Tests that updates from discovery arrive in time even if several calls in a row fail in different ways."""
+"""Tests that updates from discovery arrive within 6 s even if several calls in a row fail."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 from workspond.discovery import agent_client, watcher
 from workspond.policy.subscription_backoff import MAX_SUBSCRIPTION_BACKOFF_MS
 
-MAX_LATENCY_MS = 6000.0  # from when an update is available from a reachable agent
-MAX_RELOAD_LATENCY_MS = 4000.0  # from SIGHUP until the list of the new agent has been received
+# An update must be received within this time after it is available from a reachable agent.
+MAX_LATENCY_MS = 6000.0
+# The list of a new agent must be received within this time after SIGHUP.
+MAX_RELOAD_LATENCY_MS = 4000.0
 MARGIN_MS = 200.0
 
 
@@ -74,10 +76,10 @@
         self._stop_listening()
         if failure is Failure.CONNECTION_REFUSED:
             return
-        hangs = failure is Failure.CONNECTION_HANGS
-        self._listener = socket.create_server(("127.0.0.1", self.port), backlog=0 if hangs else 16)
+        connections_hang = failure is Failure.CONNECTION_HANGS
+        self._listener = socket.create_server(("127.0.0.1", self.port), backlog=0 if connections_hang else 16)
         self.port = self._listener.getsockname()[1]
-        if hangs:
+        if connections_hang:
             # One connection fills the backlog of this listener, so the next handshake hangs.
             self._queue_filler = socket.create_connection(("127.0.0.1", self.port))
             return
@@ -154,7 +156,7 @@
         await agent.stop()
 
 
-CASES = [
+FAILURE_SEQUENCES = [
     *((failure,) * 3 for failure in Failure),
     tuple(Failure),
     (
@@ -167,12 +169,12 @@
 ]
 
 
-def case_name(failures: tuple[Failure, ...]) -> str:
+def sequence_name(failures: tuple[Failure, ...]) -> str:
     return "; ".join(dict.fromkeys(failure.value for failure in failures))
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-@pytest.mark.parametrize("failures", CASES, ids=case_name)
+@pytest.mark.parametrize("failures", FAILURE_SEQUENCES, ids=sequence_name)
 def test_an_update_arrives_with_the_first_call_that_succeeds(
     failures: tuple[Failure, ...], mode: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
