--- a/tests/program.py
+++ b/tests/program.py
@@ -56,9 +56,9 @@
         if descriptors is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
-    environment = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
+    variables = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
     if path is not None:
-        environment["NODE_CONFIG"] = str(path)
+        variables["NODE_CONFIG"] = str(path)
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -66,7 +66,7 @@
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
         preexec_fn=limit_descriptors,
-        env=environment,
+        env=variables,
     )
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -56,10 +56,14 @@
     await until(lambda: environment.agent.watches() > watches)
 
 
-def test_after_a_wall_clock_step_old_servers_have_full_capacity_and_restarted_ones_warm_up(
+def test_after_a_wall_clock_step_only_restarted_servers_are_in_slow_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Servers once counted as warming up after a step back; after a step forward a new one got full load."""
+    """A step once misplaced the start times of servers.
+
+    After a step back, servers that had run for long were in slow start. After a step forward, a restarted
+    server got its full load at once.
+    """
 
     async def test(step_s: float) -> None:
         clock = WallClock(monkeypatch)
@@ -134,7 +138,7 @@
     assert assigned_start_ms(tracker, list_of_one(1000.0, -math.inf)) is not None
     first_ms = assigned_start_ms(tracker, list_of_one(1000.0))
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 1000.0) == first_ms
-    tracker.forget(server_id_from_name("s"))
+    tracker.remove(server_id_from_name("s"))
     # The server returns with the same start, for example after an outage of its region: it was not restarted.
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 2000.0) == first_ms
     # A new start may be earlier than the last one, because the server's clock was set back.
@@ -148,6 +152,6 @@
         name = f"s{number}"
         update = {"index": number, "snapshot": False, "endpoints": [entry(name, 1000.0)]}
         tracker.assign_start_times(read_endpoint_list(update), RECEIVED_AT_MS)
-        tracker.forget(server_id_from_name(name))
+        tracker.remove(server_id_from_name(name))
     assert len(tracker._removed) == 3
     assert not tracker._listed
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -128,15 +128,15 @@
     """Each reload once dropped the call in flight, so that responses after 0.5 s were never received."""
 
     async def test() -> None:
-        server, new = Server(name="old"), Server(name="new")
+        old, new = Server(name="old"), Server(name="new")
         agent = SlowAgent()
         await new.start()
         await agent.start()
-        async with node_environment(tmp_path, server) as environment:
+        async with node_environment(tmp_path, old) as environment:
             assert environment.node is not None
             node = environment.node
             host, _, port = agent.address.rpartition(":")
-            agent.endpoints = [server.entry(), new.entry()]
+            agent.endpoints = [old.entry(), new.entry()]
             await until(lambda: len(node._endpoints.in_service) == 1)
             started_at_s = time.monotonic()
             while len(node._endpoints.in_service) == 1:
--- a/workspond/address.py
+++ b/workspond/address.py
@@ -8,7 +8,7 @@
 
 Address = tuple[str, int]
 
-# Matches only hosts that the resolver accepts. For other texts the resolver raises exceptions that are not
+# Only hosts that the resolver accepts match. For other texts the resolver raises exceptions that are not
 # OSError, and callers handle only OSError.
 HOST_PATTERN = re.compile(r"\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9_-]{1,63}(\.[A-Za-z0-9_-]{1,63})*\.?")
 PORT_PATTERN = re.compile("[0-9]{1,5}")
--- a/workspond/config.py
+++ b/workspond/config.py
@@ -69,7 +69,7 @@
     except (ValueError, RecursionError) as error:
         raise InvalidConfigError(f"{path}: not JSON: {error!s:.100}") from None
     if not isinstance(value, dict):
-        raise InvalidConfigError(f"{path}: must be an object")
+        raise InvalidConfigError(f"{path}: the configuration must be a JSON object")
     return value
 
 
--- a/workspond/descriptor_limits.py
+++ b/workspond/descriptor_limits.py
@@ -4,15 +4,16 @@
 
 import resource
 
-# Reserved for the listener, discovery, the event loop, the log, and sockets that are half closed.
+# These descriptors are reserved for the listener, discovery, the event loop, the log, and sockets that are
+# half closed.
 RESERVED_DESCRIPTORS = 24
-# The part of the limit that clients may use. The rest is for connections to servers: idle ones, and one
-# attempt per client if the number of clients with requests in flight is about a third of the limit.
+# Connections of clients may use this fraction of the limit. The rest is for connections to servers: idle
+# ones, and one per attempt in flight while about as many clients as a third of the limit have a request.
 CLIENT_CONNECTION_FRACTION = 0.55
 
 
 def effective_descriptor_limit(configured: int) -> int:
-    """Return the lower one of the configured limit and the system's limit on open file descriptors."""
+    """Return the lower of the configured limit and the system's limit on open file descriptors."""
     system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if system_limit == resource.RLIM_INFINITY:
         return configured
--- a/workspond/discovery/incarnations.py
+++ b/workspond/discovery/incarnations.py
@@ -17,8 +17,8 @@
 from workspond.clock import now_ms
 from workspond.discovery.endpoint_list import EndpointList
 
-# How many removed servers are remembered. A server that returns with the same start time has not been
-# restarted.
+# Removed servers are remembered, up to this number, because a server that returns with the same start time
+# has not been restarted.
 MAX_REMOVED_SERVERS = 4096
 
 
@@ -76,8 +76,8 @@
         started_at_ms = reported_start_ms + self._unix_to_node_clock_ms
         return min(max(started_at_ms, previous_response_at_ms), received_at_ms)
 
-    def forget(self, server_id: int) -> None:
-        """Handle the removal of a server, whose incarnation is remembered in case it returns."""
+    def remove(self, server_id: int) -> None:
+        """Handle the removal of a server from the list; its incarnation is remembered in case it returns."""
         incarnation = self._listed.pop(server_id, None)
         if incarnation is None:
             return
--- a/workspond/endpoint_table.py
+++ b/workspond/endpoint_table.py
@@ -67,7 +67,7 @@
     def _remove(self, server_id: int) -> None:
         self.in_service.discard(server_id)
         self.addresses.pop(server_id, None)
-        self._incarnations.forget(server_id)
+        self._incarnations.remove(server_id)
 
 
 def _policy_update(endpoints: EndpointList, kind: UpdateKind, missing_ids: list[int]) -> EndpointUpdate:
--- a/workspond/request_registry.py
+++ b/workspond/request_registry.py
@@ -20,8 +20,8 @@
 from workspond.policy.events import RequestAbandoned, RequestReceived
 from workspond.policy_runner import PolicyRunner
 
-# Part of a request's budget that its attempts can't use. It covers the time before the node has read the
-# request and the time to send the response.
+# Attempts can't use this part of a request's budget. It covers the time before the node has read the request
+# and the time to send the response.
 DEADLINE_MARGIN_MS = 10.0
 # A deadline timer that fired early is set again for this long after the deadline.
 EARLY_TIMER_DELAY_S = 0.001
