--- a/workspond/policy/balancer.py
+++ b/workspond/policy/balancer.py
@@ -50,7 +50,8 @@
 from workspond.policy.subscription_backoff import subscription_backoff_ms
 from workspond.policy.tenant_quotas import TenantQuotas
 
-# A replica doubles its subset of the servers when it has more attempts in flight per server than this.
+# A replica doubles its subset of the servers when it has more attempts in flight per server of the subset
+# than this.
 MAX_IN_FLIGHT_PER_SUBSET_SERVER = 1.0
 
 
@@ -202,7 +203,7 @@
             self._actions.append(self._timers.set(call, wait_ms - slack_ms))
 
     def _release_queued(self, now_ms: float) -> None:
-        """Send queued requests in order of priority until the concurrency limit is reached."""
+        """Send all queued requests that can be sent now, in order of priority."""
         for queue in self._queue.by_priority(self.admission.priority):
             while queue and self._try_release(queue[0], now_ms):
                 queue.popleft()
