--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -56,16 +56,20 @@
     await until(lambda: environment.agent.watches() > watches)
 
 
-def test_after_a_wall_clock_step_old_servers_have_full_capacity_and_restarted_ones_warm_up(
+def test_after_a_wall_clock_step_only_restarted_servers_are_in_slow_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Servers once counted as warming up after a step back; after a step forward a new one got full load."""
+    """A step once misplaced the start times of servers.
+
+    After a step back, servers that had run for long were in slow start. After a step forward, a restarted
+    server got its full load at once.
+    """
 
     async def test(step_s: float) -> None:
         clock = WallClock(monkeypatch)
         up_since_ms = clock.true_ms() - int(UPTIME_S * 1000.0)
         servers = [Server(name=f"s{n}") for n in range(SERVER_COUNT)]
-        async with node_environment(tmp_path, *servers, known=False) as environment:
+        async with node_environment(tmp_path, *servers, has_cached_list=False) as environment:
             environment.agent.endpoints = [server.entry(since_ms=up_since_ms) for server in servers]
             await until(lambda: environment.agent.watches() == 1)
             assert set(capacity_fractions(environment).values()) == {1.0}
@@ -79,16 +83,17 @@
             restarted_fraction = fractions.pop(servers[-1].name)
             assert set(fractions.values()) == {1.0}
             assert environment.node is not None
-            start = environment.node._config.settings.start_capacity
-            assert start <= restarted_fraction < start + 0.1
+            start_capacity = environment.node._config.settings.start_capacity
+            assert start_capacity <= restarted_fraction < start_capacity + 0.1
 
     for step_s in (-HOUR_S, HOUR_S):
         run(test(step_s))
 
 
-# When the list that reports a start is received. The node's clock counts from the machine's start.
+# When the list that reports a start is received, and when the list before it was. The first is the current
+# time, because the node's clock counts from the machine's start.
 RECEIVED_AT_MS = now_ms()
-PREVIOUS_AT_MS = RECEIVED_AT_MS - 1000.0  # when the previous list was received
+PREVIOUS_AT_MS = RECEIVED_AT_MS - 1000.0
 
 
 def entry(name: str, since_ms: float) -> dict[str, object]:
@@ -129,11 +134,11 @@
 def test_the_assigned_start_changes_only_if_discovery_reports_another_one() -> None:
     tracker = IncarnationTracker()
     assert assigned_start_ms(tracker, list_of_one(0)) is None
-    # The start was long ago, by a server clock that has been set since.
+    # The reported start was long ago, because the server's clock was far behind until it was set.
     assert assigned_start_ms(tracker, list_of_one(1000.0, -math.inf)) is not None
     first_ms = assigned_start_ms(tracker, list_of_one(1000.0))
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 1000.0) == first_ms
-    tracker.forget(server_id_from_name("s"))
+    tracker.remove(server_id_from_name("s"))
     # The server returns with the same start, for example after an outage of its region: it was not restarted.
     assert assigned_start_ms(tracker, list_of_one(1000.0), RECEIVED_AT_MS + 2000.0) == first_ms
     # A new start may be earlier than the last one, because the server's clock was set back.
@@ -147,6 +152,6 @@
         name = f"s{number}"
         update = {"index": number, "snapshot": False, "endpoints": [entry(name, 1000.0)]}
         tracker.assign_start_times(read_endpoint_list(update), RECEIVED_AT_MS)
-        tracker.forget(server_id_from_name(name))
+        tracker.remove(server_id_from_name(name))
     assert len(tracker._removed) == 3
     assert not tracker._listed
